--- a/src/entry/common/atMostOnce/test/ticketWorld.ts
+++ b/src/entry/common/atMostOnce/test/ticketModel.ts
@@ -1,6 +1,6 @@
 /**
- * A small model of entries, callers and targets for the properties of tickets: three entries of one
- * region, a clock, sends that arrive in any order, and a count of what the target really ran.
+ * A small model of entries, callers and targets for property-based tests of tickets: three entries of one
+ * region, a clock, requests that arrive in any order, and a count of the calls that the target really ran.
  */
 
 import type { RequestError } from '../../../../core/errors/common/errorKinds';
@@ -11,32 +11,32 @@
 import { parseTicket } from '../../tickets/ticket';
 import { TicketIssuer } from '../../tickets/ticketIssuer';
 import type { IEntryDirectory } from '../../tickets/ticketRoute';
-import { decideTicketRoute, refuseAsOther, TicketRouteKind } from '../../tickets/ticketRoute';
+import { decideTicketRoute, withUnknownOutcome, TicketRouteKind } from '../../tickets/ticketRoute';
 import type { IAtMostOnceLedger } from '../atMostOnceLedger';
 import { AtMostOnceLedger, ReceiveKind } from '../atMostOnceLedger';
-import type { RunEnd, TicketRun } from '../ticketRun';
-import { RunEndKind } from '../ticketRun';
+import type { RunResult, TicketRun } from '../ticketRun';
+import { RunResultKind } from '../ticketRun';
 
 export const entryCount = 3;
 export const ticketsPerEntry = 2;
 const lifetimeMs = 1_000;
 const region = 'kingston' as RegionName;
 
-/** How the world's entries decide; a broken variant replaces one part. */
-export interface Rules {
+/** How the entries of the model decide. A broken variant replaces one part. */
+export interface DecisionRules {
 	createLedger(own: InstanceBoot): IAtMostOnceLedger;
 	decideRoute: typeof decideTicketRoute;
-	refuseAsOther: typeof refuseAsOther;
+	withUnknownOutcome: typeof withUnknownOutcome;
 }
 
-export const soundRules: Rules = {
-	createLedger: own => new AtMostOnceLedger(own, { mostAnswerBytes: 2_000, mostTickets: 20 }),
+export const correctRules: DecisionRules = {
+	createLedger: own => new AtMostOnceLedger(own, { maxAnswerBytes: 2_000, maxTickets: 20 }),
 	decideRoute: decideTicketRoute,
-	refuseAsOther,
+	withUnknownOutcome,
 };
 
-/** How an attempt ends that has no whole answer: what the caller is told, and whether the target ran it. */
-export const fates = [
+/** The ways in which an attempt fails: the error kind for the caller, and whether the target ran the call. */
+export const failures = [
 	{ kind: ErrorKind.TargetRefused, isRun: false },
 	{ kind: ErrorKind.NoTarget, isRun: false },
 	{ kind: ErrorKind.TargetFailed, isRun: true },
@@ -46,13 +46,13 @@
 export type Action =
 	'send' | 'sendUnread' | 'forge' | 'answer' | 'fail' | 'restart' | 'freeze' | 'wake' | 'wait';
 
-/** One step; each action reads what concerns it. */
+/** One step of a model run. Each action uses only the fields that it needs. */
 export interface Step {
 	readonly action: Action;
 	readonly entry: number;
 	readonly ticket: number;
 	readonly body: number;
-	readonly fate: number;
+	readonly failure: number;
 	readonly waitMs: number;
 }
 
@@ -61,17 +61,20 @@
 	readonly ledger: IAtMostOnceLedger;
 	readonly issuer: TicketIssuer;
 	readonly running: { readonly text: string; readonly body: number; readonly run: TicketRun }[];
-	/** What arrived while it was frozen; undefined while it is awake. */
+	/** Messages that arrived while the process was suspended, or undefined while it runs. */
 	inbox: (() => void)[] | undefined;
 }
 
-/** A keyed check good enough for a model: the sum of the characters, weighed by their place. */
+/**
+ * A checksum instead of a signature, which is enough for a model: the sum of the bytes, weighted by
+ * position.
+ */
 const signer: ITicketSigner = {
 	sign: text => String(Buffer.from(text).reduce((sum, byte, index) => sum + byte * (index + 7), 0)),
 	verify: (text, check) => signer.sign(text) === check,
 };
 
-export class TicketWorld {
+export class TicketModel {
 	readonly faults: string[] = [];
 	readonly runs = new Map<string, number>();
 	readonly told = new Map<string, Set<string>>();
@@ -83,12 +86,12 @@
 		findEntry: instance => ({ own: this.entries[Number(instance)]!.own, region }),
 	};
 
-	constructor(private readonly rules: Rules) {
+	constructor(private readonly rules: DecisionRules) {
 		this.entries = Array.from({ length: entryCount }, (_, index) => this.createEntry(index));
 		this.tickets = this.entries.flatMap(({ issuer }) => issuer.issueBatch(ticketsPerEntry, 0));
 	}
 
-	take({ action, entry: index, ticket, body, fate, waitMs }: Step): void {
+	applyStep({ action, entry: index, ticket, body, failure, waitMs }: Step): void {
 		const entry = this.entries[index]!;
 		const text = this.tickets[ticket]!;
 		const actions: Record<Action, () => void> = {
@@ -105,7 +108,7 @@
 				this.end(entry, undefined);
 			},
 			fail: () => {
-				this.end(entry, fates[fate]);
+				this.end(entry, failures[failure]);
 			},
 			restart: () => {
 				entry.running.forEach(running => {
@@ -115,17 +118,20 @@
 			},
 			freeze: () => (entry.inbox ??= []),
 			wake: () => {
-				this.release(entry);
+				this.resumeEntry(entry);
 			},
 			wait: () => (this.nowMs += waitMs),
 		};
 		actions[action]();
 	}
 
-	/** Lets every sleeper wake and every run be answered; then compares what callers were told with the runs. */
+	/**
+	 * Resumes every suspended entry, answers every run, and compares the outcomes that callers got with the
+	 * runs.
+	 */
 	finish(): void {
 		this.entries.forEach(entry => {
-			this.release(entry);
+			this.resumeEntry(entry);
 		});
 		for (const entry of this.entries) {
 			while (entry.running.length > 0) {
@@ -161,59 +167,59 @@
 		const ticket = parseTicket(text, signer)._unsafeUnwrap();
 		const route = this.rules.decideRoute(ticket, { own: entry.own, region }, this.directory, isForwarded);
 		if (route.kind === TicketRouteKind.Own) {
-			this.decide(entry, ticket, text, body);
+			this.handleOwnTicket(entry, ticket, text, body);
 		} else if (route.kind === TicketRouteKind.Refuse) {
-			this.note(text, this.rules.refuseAsOther(route.error));
+			this.recordOutcome(text, this.rules.withUnknownOutcome(route.error));
 		} else {
 			this.forward(Number(route.to), text, body);
 		}
 	}
 
-	/** A frozen issuer is given up on, and reads the message when it wakes. */
+	/** A suspended issuer times out for the caller, and handles the message when it resumes. */
 	private forward(to: number, text: string, body: number | undefined): void {
 		if (this.entries[to]!.inbox !== undefined) {
-			const silent = createRequestError(ErrorKind.PeerUnreachable, 'the issuer is silent');
-			this.note(text, this.rules.refuseAsOther(silent));
+			const silent = createRequestError(ErrorKind.PeerUnreachable, 'the issuer does not respond');
+			this.recordOutcome(text, this.rules.withUnknownOutcome(silent));
 		}
 		this.receive(to, text, body, true);
 	}
 
-	private decide(entry: Entry, ticket: Ticket, text: string, body: number | undefined): void {
+	private handleOwnTicket(entry: Entry, ticket: Ticket, text: string, body: number | undefined): void {
 		if (body === undefined) {
 			const tooLarge = createRequestError(ErrorKind.BodyTooLarge, 'too large');
-			this.note(text, entry.ledger.refuseUnread(ticket, tooLarge, this.nowMs));
+			this.recordOutcome(text, entry.ledger.refuseUnreadCall(ticket, tooLarge, this.nowMs));
 			return;
 		}
 		const decision = entry.ledger.receive(ticket, `body-${body}` as Fingerprint, this.nowMs);
 		if (decision.kind === ReceiveKind.Refuse) {
-			this.note(text, decision.error);
+			this.recordOutcome(text, decision.error);
 			return;
 		}
 		if (decision.kind === ReceiveKind.Replay) {
-			this.noteEnd(text, body, { kind: RunEndKind.Answered, answer: decision.answer });
+			this.recordResult(text, body, { kind: RunResultKind.Answered, answer: decision.answer });
 			return;
 		}
 		if (decision.kind === ReceiveKind.Run) {
 			entry.running.push({ text, body, run: decision.run });
 		}
 		decision.run.waitForEnd(end => {
-			this.noteEnd(text, body, end);
+			this.recordResult(text, body, end);
 		});
 	}
 
-	private noteEnd(text: string, body: number, end: RunEnd): void {
-		if (end.kind === RunEndKind.Failed) {
-			this.note(text, end.error);
+	private recordResult(text: string, body: number, result: RunResult): void {
+		if (result.kind === RunResultKind.Failed) {
+			this.recordOutcome(text, result.error);
 			return;
 		}
-		const answer = new TextDecoder().decode(end.answer?.body);
+		const answer = new TextDecoder().decode(result.answer?.body);
 		if (answer !== `${text} ${body}`) {
 			this.faults.push(`${text} with body ${body} was answered ${answer}`);
 		}
-		this.note(text, undefined);
+		this.recordOutcome(text, undefined);
 	}
 
-	private note(text: string, error: RequestError | undefined): void {
+	private recordOutcome(text: string, error: RequestError | undefined): void {
 		const outcome = error === undefined ? Outcome.Answered : getOutcomeOf(error);
 		this.told.set(text, (this.told.get(text) ?? new Set()).add(outcome));
 	}
@@ -222,25 +228,25 @@
 		this.runs.set(text, (this.runs.get(text) ?? 0) + 1);
 	}
 
-	/** Ends the oldest run of an entry that is awake, answered where no other fate is given. */
-	private end(entry: Entry, fate: (typeof fates)[number] | undefined): void {
+	/** Ends the oldest run of an entry that is not suspended, with an answer unless a failure is given. */
+	private end(entry: Entry, failure: (typeof failures)[number] | undefined): void {
 		const running = entry.inbox === undefined ? entry.running.shift() : undefined;
 		if (running === undefined) {
 			return;
 		}
 		const { text, body, run } = running;
-		if (fate?.isRun !== false) {
+		if (failure?.isRun !== false) {
 			this.countRun(text);
 		}
 		const answer = { status: 200, headers: [], body: new TextEncoder().encode(`${text} ${body}`) };
 		run.end(
-			fate === undefined
-				? { kind: RunEndKind.Answered, answer }
-				: { kind: RunEndKind.Failed, error: createRequestError(fate.kind, 'the attempt') },
+			failure === undefined
+				? { kind: RunResultKind.Answered, answer }
+				: { kind: RunResultKind.Failed, error: createRequestError(failure.kind, 'the attempt') },
 		);
 	}
 
-	private release(entry: Entry): void {
+	private resumeEntry(entry: Entry): void {
 		const inbox = entry.inbox ?? [];
 		entry.inbox = undefined;
 		inbox.forEach(handle => {
@@ -252,7 +258,7 @@
 		const { number } = parseTicket(text, signer)._unsafeUnwrap();
 		const forged = text.replace(`:${number}:`, `:${number + 1}:`);
 		if (parseTicket(forged, signer).isOk()) {
-			this.faults.push(`${forged} was taken`);
+			this.faults.push(`${forged} was accepted`);
 		}
 	}
 }
--- a/src/entry/common/atMostOnce/test/ticketProperties.test.ts
+++ b/src/entry/common/atMostOnce/test/ticketProperties.test.ts
@@ -7,8 +7,8 @@
 import type { IAtMostOnceLedger, ReceiveDecision } from '../atMostOnceLedger';
 import { ReceiveKind } from '../atMostOnceLedger';
 import { TicketRun } from '../ticketRun';
-import type { Action, Rules, Step } from './ticketWorld';
-import { entryCount, fates, soundRules, ticketsPerEntry, TicketWorld } from './ticketWorld';
+import type { Action, DecisionRules, Step } from './ticketModel';
+import { entryCount, failures, correctRules, ticketsPerEntry, TicketModel } from './ticketModel';
 
 function createSteps(...actions: Action[]): fc.Arbitrary<Step[]> {
 	const step = fc.record({
@@ -16,7 +16,7 @@
 		entry: fc.nat(entryCount - 1),
 		ticket: fc.nat(entryCount * ticketsPerEntry - 1),
 		body: fc.nat(1),
-		fate: fc.nat(fates.length - 1),
+		failure: fc.nat(failures.length - 1),
 		waitMs: fc.constantFrom(1, 400, 1_000),
 	});
 	return fc.array(step, { maxLength: 40 });
@@ -25,19 +25,21 @@
 const sends: Action[] = ['send', 'send', 'send', 'send', 'sendUnread', 'forge'];
 const anySteps = createSteps(...sends, 'answer', 'fail', 'fail', 'restart', 'freeze', 'wake', 'wait');
 
-function walkWorld(rules: Rules, steps: readonly Step[]): TicketWorld {
-	const world = new TicketWorld(rules);
+function runModel(rules: DecisionRules, steps: readonly Step[]): TicketModel {
+	const model = new TicketModel(rules);
 	steps.forEach(step => {
-		world.take(step);
+		model.applyStep(step);
 	});
-	world.finish();
-	return world;
+	model.finish();
+	return model;
 }
 
-/** The first fault that the property finds with these rules, or undefined where it holds. */
-function findFault(rules: Rules): string | undefined {
+/**
+ * The first violation that the property test finds with these rules, or undefined where the property holds.
+ */
+function findViolation(rules: DecisionRules): string | undefined {
 	const property = fc.property(anySteps, steps => {
-		const [fault] = walkWorld(rules, steps).faults;
+		const [fault] = runModel(rules, steps).faults;
 		if (fault !== undefined) {
 			throw new Error(fault);
 		}
@@ -48,22 +50,22 @@
 
 type Receive = IAtMostOnceLedger['receive'];
 
-/** The sound rules with the ledger's decision replaced. */
-function createRulesWith(replace: (sound: Receive, boot: InstanceBoot) => Receive): Rules {
+/** The correct rules with the ledger's decision replaced. */
+function createRulesWith(replace: (correct: Receive, boot: InstanceBoot) => Receive): DecisionRules {
 	return {
-		...soundRules,
+		...correctRules,
 		createLedger: boot => {
-			const sound = soundRules.createLedger(boot);
-			const receive = replace((...call) => sound.receive(...call), boot);
-			return { receive, refuseUnread: (...call) => sound.refuseUnread(...call) };
+			const correct = correctRules.createLedger(boot);
+			const receive = replace((...call) => correct.receive(...call), boot);
+			return { receive, refuseUnreadCall: (...call) => correct.refuseUnreadCall(...call) };
 		},
 	};
 }
 
-/** Runs a call where a sound ledger refuses it for this reason. */
-function createRulesThatRun(isRun: (kind: ErrorKind, outcome: Outcome) => boolean): Rules {
-	return createRulesWith(sound => (...call): ReceiveDecision => {
-		const decision = sound(...call);
+/** Rules that run a call where the correct ledger refuses it for this reason. */
+function createRulesThatRun(isRun: (kind: ErrorKind, outcome: Outcome) => boolean): DecisionRules {
+	return createRulesWith(correct => (...call): ReceiveDecision => {
+		const decision = correct(...call);
 		return decision.kind === ReceiveKind.Refuse && isRun(decision.error.kind, getOutcomeOf(decision.error))
 			? { kind: ReceiveKind.Run, run: new TicketRun(() => undefined) }
 			: decision;
@@ -71,19 +73,19 @@
 }
 
 const withoutBoot = createRulesWith(
-	(sound, boot) =>
+	(correct, boot) =>
 		(ticket, ...rest) =>
-			sound({ ...ticket, issuer: boot }, ...rest),
+			correct({ ...ticket, issuer: boot }, ...rest),
 );
-const spentAtEnd = createRulesWith(sound => {
+const spentAtEnd = createRulesWith(correct => {
 	const ended = new Set<number>();
 	return (ticket, ...rest) =>
 		ended.has(ticket.number)
-			? sound(ticket, ...rest)
+			? correct(ticket, ...rest)
 			: { kind: ReceiveKind.Run, run: new TicketRun(() => ended.add(ticket.number)) };
 });
 
-const brokenRules: readonly [string, Rules][] = [
+const brokenRules: readonly [string, DecisionRules][] = [
 	[
 		'keyed by the number without the boot',
 		{
@@ -91,46 +93,46 @@
 			decideRoute: (ticket, own, ...rest) =>
 				ticket.issuer.instance === own.own.instance
 					? { kind: TicketRouteKind.Own }
-					: soundRules.decideRoute(ticket, own, ...rest),
+					: correctRules.decideRoute(ticket, own, ...rest),
 		},
 	],
 	['spent only when the run ends', spentAtEnd],
 	['not spent by a run that ended not-run', createRulesThatRun((_, outcome) => outcome === Outcome.NotRun)],
 	['run after the expiry', createRulesThatRun(kind => kind === ErrorKind.TicketExpired)],
 	['run by another entry', { ...withoutBoot, decideRoute: () => ({ kind: TicketRouteKind.Own }) }],
-	['refused as not-run by another entry', { ...soundRules, refuseAsOther: error => error }],
+	['refused as not-run by another entry', { ...correctRules, withUnknownOutcome: error => error }],
 	[
 		'bound to no body',
-		createRulesWith(sound => (ticket, _, nowMs) => sound(ticket, 'any' as Fingerprint, nowMs)),
+		createRulesWith(correct => (ticket, _, nowMs) => correct(ticket, 'any' as Fingerprint, nowMs)),
 	],
 ];
 
 describe('tickets among entries', () => {
-	// Callers resend to any entry, copies arrive late and twice, entries restart, freeze and wake, targets
-	// fail. A customer would notice a second run as a second charge on the account, and a wrong `not-run` as
-	// a payment made twice by two ways.
+	// Callers resend to any entry, copies are delayed and duplicated, entries restart, are suspended and
+	// resume, and targets fail. A second run would charge a customer twice. After a wrong `not-run`, the
+	// customer would make the same payment again by other means.
 	it('run at most once, and never after a caller was told not-run', () => {
-		expect(findFault(soundRules)).toBeUndefined();
+		expect(findViolation(correctRules)).toBeUndefined();
 	});
 
-	// The property is worth something only if it notices a fault. Each of these rules is one that somebody
-	// could take for good enough; under it a household is charged twice or gets another call's answer.
-	it.each(brokenRules)('are found wrong when %s', (_, rules) => {
-		expect(findFault(rules)).toMatch(/ ran \d times| was answered /);
+	// The property test is useful only if it detects faults. Each of these rules looks plausible, but with it a
+	// customer is charged twice or gets the answer to another call.
+	it.each(brokenRules)('violate the property when %s', (_, rules) => {
+		expect(findViolation(rules)).toMatch(/ ran \d times| was answered /);
 	});
 
 	it('run exactly once without faults, and every resend gets the answer', () => {
 		fc.assert(
 			fc.property(createSteps('send', 'send', 'answer'), steps => {
-				const world = walkWorld(
-					soundRules,
+				const model = runModel(
+					correctRules,
 					steps.map(step => ({ ...step, body: 0 })),
 				);
 				const sent = steps.filter(step => step.action === 'send').map(step => step.ticket);
-				expect(world.faults).toEqual([]);
-				expect([...world.runs.values()]).toEqual([...new Set(sent)].map(() => 1));
-				expect([...world.told.values()].map(told => [...told])).toEqual(
-					[...world.runs].map(() => [Outcome.Answered]),
+				expect(model.faults).toEqual([]);
+				expect([...model.runs.values()]).toEqual([...new Set(sent)].map(() => 1));
+				expect([...model.told.values()].map(told => [...told])).toEqual(
+					[...model.runs].map(() => [Outcome.Answered]),
 				);
 			}),
 			{ seed: 4 },
--- a/src/entry/common/atMostOnce/ticketRun.ts
+++ b/src/entry/common/atMostOnce/ticketRun.ts
@@ -1,52 +1,58 @@
 /**
- * The one run of a ticket, and those who wait for its end.
+ * The single run of a ticketed call, and the observers that wait for its result.
  */
 
 import type { IDisposable } from '../../../base/common/lifecycle';
 import { toDisposable } from '../../../base/common/lifecycle';
 import type { RequestError } from '../../../core/errors/common/errorKinds';
 
-/** A whole answer, kept for resends. */
-export interface KeptAnswer {
+/** A complete answer, cached for resends of the same call. */
+export interface CachedAnswer {
 	readonly status: number;
-	/** Names and values in their order. */
+	/** Names and values in the order in which the target sent them. */
 	readonly headers: readonly (readonly [string, string])[];
 	readonly body: Uint8Array;
 }
 
-export enum RunEndKind {
+export enum RunResultKind {
 	Answered = 'answered',
 	Failed = 'failed',
 }
 
-/** How the run ended; an answer too large to be kept is undefined. */
-export type RunEnd =
-	| { readonly kind: RunEndKind.Answered; readonly answer: KeptAnswer | undefined }
-	| { readonly kind: RunEndKind.Failed; readonly error: RequestError };
+/** How the run ended. The answer is undefined where it was too large to cache. */
+export type RunResult =
+	| { readonly kind: RunResultKind.Answered; readonly answer: CachedAnswer | undefined }
+	| { readonly kind: RunResultKind.Failed; readonly error: RequestError };
 
-/** Handed to the send that runs the call, which ends it exactly once, and to the sends that join it. */
+/**
+ * Shared by the request that runs the call, which ends the run exactly once, and by the repeated requests
+ * that wait for its result.
+ */
 export class TicketRun {
-	private readonly observers = new Set<(end: RunEnd) => void>();
-	private outcome: RunEnd | undefined;
+	private readonly observers = new Set<(result: RunResult) => void>();
+	private outcome: RunResult | undefined;
 
-	/** `settle` is the ledger's own note of the end; it comes before every waiter's. */
-	constructor(private readonly settle: (end: RunEnd) => void) {}
+	/** `recordResult` updates the ledger. It is called before any observer. */
+	constructor(private readonly recordResult: (result: RunResult) => void) {}
 
-	/** Ends the run; a second end is ignored, so that an error path may overlap with another. */
-	end(end: RunEnd): void {
+	/** Ends the run. Later calls are ignored, so that overlapping error paths may each end it. */
+	end(result: RunResult): void {
 		if (this.outcome !== undefined) {
 			return;
 		}
-		this.outcome = end;
-		this.settle(end);
+		this.outcome = result;
+		this.recordResult(result);
 		for (const observe of [...this.observers]) {
-			observe(end);
+			observe(result);
 		}
 		this.observers.clear();
 	}
 
-	/** Calls back once, at the end; the disposable is released when the waiting caller goes away. */
-	waitForEnd(observe: (end: RunEnd) => void): IDisposable {
+	/**
+	 * Calls back once with the result, at once if the run has ended. Dispose the returned object when the
+	 * waiting caller disconnects.
+	 */
+	waitForEnd(observe: (result: RunResult) => void): IDisposable {
 		if (this.outcome !== undefined) {
 			observe(this.outcome);
 			return toDisposable(() => undefined);
@@ -57,8 +63,11 @@
 		});
 	}
 
-	/** Sends that wait; a run that somebody waits for goes on when its own caller has gone. */
-	countWaiting(): number {
+	/**
+	 * The number of requests that wait for the result. A run with waiting requests continues after the caller
+	 * that started it has disconnected.
+	 */
+	countWaiters(): number {
 		return this.observers.size;
 	}
 }
--- a/src/entry/common/callers/answerSink.ts
+++ b/src/entry/common/callers/answerSink.ts
@@ -1,6 +1,7 @@
 /**
- * Where an answer goes: to a caller's connection, to the entry that forwarded the request, or into the
- * record that later sends of the same ticket are answered from. Whoever produces an answer sees only this.
+ * The destination of an answer: a caller's connection, the entry that forwarded the request, or the recorder
+ * that caches the answer for later requests with the same ticket. Code that produces an answer depends on
+ * this interface only.
  */
 
 import type { RequestError } from '../../../core/errors/common/errorKinds';
@@ -11,26 +12,26 @@
 	readonly status: number;
 	readonly lines: readonly HeaderLine[];
 	/**
-	 * The answer has no length and ends with its connection, so nobody can tell its end from its breaking off.
-	 * Passed on with a frame of our own, a piece would be vouched for as the whole.
+	 * The answer has no length and ends when its connection closes, so its end cannot be told from a
+	 * truncation. If this entry forwarded it with its own framing, a truncated answer would look complete.
 	 */
 	readonly endsWithConnection?: boolean;
 }
 
-/** Takes one answer: `begin`, any number of `write`, then `end` or `cut`; or `refuse` alone. */
+/** Receives one answer: `begin`, any number of `write`, then `end` or `cut`, or otherwise `refuse` alone. */
 export interface IAnswerSink {
 	begin(head: AnswerHead): void;
-	/** Gives false where the reader is behind; `waitForDrain` then says when to go on. */
+	/** Returns false under backpressure. Writing may resume when `waitForDrain` calls back. */
 	write(chunk: Uint8Array): boolean;
 	waitForDrain(resume: () => void): void;
 	end(): void;
 	/**
-	 * Ends an answer that has begun and cannot be whole. The reader's library must see an error: a clean end
-	 * would pass a piece off as the whole.
+	 * Aborts an answer that has begun and cannot be completed. The reader's HTTP library must report an error,
+	 * because a truncated answer with a clean end would look complete.
 	 */
 	cut(): void;
-	/** Answers with a fault; only before `begin`. */
+	/** Answers with an error. Allowed only before `begin`. */
 	refuse(error: RequestError): void;
-	/** Calls back once when the reader goes away before the answer's end. */
+	/** Calls back once if the reader disconnects before the end of the answer. */
 	watchAbandoned(notify: () => void): void;
 }
--- a/src/entry/common/callers/callHead.ts
+++ b/src/entry/common/callers/callHead.ts
@@ -1,6 +1,6 @@
 /**
- * Reads the head of a caller's request into a typed call. Everything that can be refused by its head is
- * refused here, before a byte of the body is read.
+ * Parses the head of a caller's request into a typed call. Every request that can be refused by its head
+ * alone is refused here, before any byte of the body is read.
  */
 
 import type { Result } from 'neverthrow';
@@ -13,57 +13,57 @@
 import { findRequestClass, RequestClass, requestClasses } from '../../../core/requests/common/requestClass';
 import type { PromptShape } from '../prompts/promptShape';
 
-/** One header line; a name may stand more than once. */
+/** One header line. A name may occur more than once in a head. */
 export interface HeaderLine {
 	readonly name: string;
 	readonly value: string;
 }
 
-/** What a caller asks, as its head says it. */
+/** The parsed head of a caller's request. */
 export interface CallHead {
 	readonly service: ServiceName;
 	readonly organisation: OrganisationName;
 	readonly requestClass: RequestClass;
 	readonly method: string;
-	/** Path and query below the service. */
+	/** Path and query below the service prefix. */
 	readonly path: string;
-	/** Milliseconds, or undefined where the class's default applies. */
+	/** Time limit in milliseconds, or undefined where the default of the request class applies. */
 	readonly deadlineMs: number | undefined;
 	readonly prefixKey: string | undefined;
 	readonly ticket: string | undefined;
-	/** The lines that are passed on to the target. */
-	readonly passedOn: readonly HeaderLine[];
-	/** What a caller that knows hosts and paths asks; undefined for one that names services. */
+	/** The header lines that are forwarded to the target. */
+	readonly forwardedLines: readonly HeaderLine[];
+	/** Set where the request is matched by host and path. Undefined where the caller names the service. */
 	readonly routed?: RoutedCall;
 }
 
-/** The part of a head that selects and shapes a routed call. */
+/** The parts of a head that exist only in a call matched by host and path. */
 export interface RoutedCall {
 	readonly route: ManifestRoute;
-	/** As the caller wrote it. */
+	/** The host as the caller sent it. */
 	readonly host: string;
-	/** The id that the caller gave to this send. */
+	/** The request id that the caller sent. */
 	readonly callerRequestId: string;
-	/** What the caller said of its prompt, if anything. */
+	/** The description of the prompt that the caller sent, if any. */
 	readonly prompt: PromptShape | undefined;
-	/** Where a stream that the caller resumes goes on. */
+	/** The id of the last event that the caller received, where it resumes a stream. */
 	readonly lastEventId: string | undefined;
 }
 
-/** The head as a server hands it over; header names in lower case. */
+/** The head as read by the HTTP server, with header names in lower case. */
 export interface RawHead {
 	readonly method: string;
-	/** Path and query as the caller wrote them. */
+	/** Path and query as the caller sent them. */
 	readonly url: string;
 	readonly lines: readonly HeaderLine[];
 }
 
 const servicesPrefix = '/v1/services/';
-const longestDeadlineMs = 3_600_000;
-const longestPrefixKey = 256;
+const maxDeadlineMs = 3_600_000;
+const maxPrefixKeyLength = 256;
 
-/** Meaningful between two ends of one connection only, so never passed on (RFC 9110, section 7.6.1). */
-const connectionHeaders = new Set([
+/** Headers that apply to a single connection and are never forwarded (RFC 9110, section 7.6.1). */
+const hopByHopHeaders = new Set([
 	'connection',
 	'keep-alive',
 	'proxy-authenticate',
@@ -78,19 +78,19 @@
 	'content-length',
 ]);
 
-/** Headers that the entry sets anew on each attempt; a caller's own must not reach a target. */
-const ownHeaders = new Set<string>(Object.values(headers));
+/** Headers that the entry sets itself on each attempt. A caller's values must not reach a target. */
+const entryHeaders = new Set<string>(Object.values(headers));
 
-/** Drops the lines that concern one connection only. */
-export function listEndToEnd(lines: readonly HeaderLine[]): HeaderLine[] {
+/** Removes the hop-by-hop headers, also those that the `connection` header names. */
+export function listEndToEndLines(lines: readonly HeaderLine[]): HeaderLine[] {
 	const named = findHeader(lines, 'connection')?.toLowerCase().split(',') ?? [];
 	const nominated = new Set(named.map(name => name.trim()));
-	return lines.filter(({ name }) => !connectionHeaders.has(name) && !nominated.has(name));
+	return lines.filter(({ name }) => !hopByHopHeaders.has(name) && !nominated.has(name));
 }
 
-/** Drops the lines that must not cross an entry. */
-export function listPassedOn(lines: readonly HeaderLine[]): HeaderLine[] {
-	return listEndToEnd(lines).filter(({ name }) => !ownHeaders.has(name));
+/** Removes the hop-by-hop headers and the headers that the entry sets itself. */
+export function listForwardedLines(lines: readonly HeaderLine[]): HeaderLine[] {
+	return listEndToEndLines(lines).filter(({ name }) => !entryHeaders.has(name));
 }
 
 /** The first value of a header, or undefined. */
@@ -98,11 +98,11 @@
 	return lines.find(line => line.name === name)?.value;
 }
 
-/** Reads a head, or tells the first fault of it. */
+/** Parses a head, or returns the first error in it. */
 export function parseCallHead(raw: RawHead): Result<CallHead, RequestError> {
 	const route = parseRoute(raw.url);
 	if (route === undefined) {
-		return err(createRequestError(ErrorKind.UnknownRoute, `no route ${raw.method} ${raw.url}`));
+		return err(createRequestError(ErrorKind.UnknownRoute, `no route matches ${raw.method} ${raw.url}`));
 	}
 	const organisation = findHeader(raw.lines, headers.organisation);
 	if (organisation === undefined || organisation === '') {
@@ -114,12 +114,15 @@
 	}
 	const deadlineMs = parseDeadline(findHeader(raw.lines, headers.deadlineMs));
 	if (Number.isNaN(deadlineMs)) {
-		return err(createRequestError(ErrorKind.MalformedDeadline, `1 to ${longestDeadlineMs}`));
+		return err(createRequestError(ErrorKind.MalformedDeadline, `must be 1 to ${maxDeadlineMs} ms`));
 	}
 	const prefixKey = findHeader(raw.lines, headers.prefixKey);
-	if (prefixKey !== undefined && prefixKey.length > longestPrefixKey) {
+	if (prefixKey !== undefined && prefixKey.length > maxPrefixKeyLength) {
 		return err(
-			createRequestError(ErrorKind.MalformedHeader, `${headers.prefixKey}: ${longestPrefixKey} characters`),
+			createRequestError(
+				ErrorKind.MalformedHeader,
+				`${headers.prefixKey}: must have at most ${maxPrefixKeyLength} characters`,
+			),
 		);
 	}
 	return ok({
@@ -130,7 +133,7 @@
 		deadlineMs,
 		prefixKey,
 		ticket: findHeader(raw.lines, headers.ticket),
-		passedOn: listPassedOn(raw.lines),
+		forwardedLines: listForwardedLines(raw.lines),
 	});
 }
 
@@ -155,11 +158,11 @@
 	return findRequestClass(text);
 }
 
-/** Milliseconds; undefined where the caller named none, not a number where it cannot be read. */
+/** Returns milliseconds, undefined where the header is missing, or `NaN` where its value is invalid. */
 export function parseDeadline(text: string | undefined): number | undefined {
 	if (text === undefined) {
 		return undefined;
 	}
 	const value = /^\d{1,7}$/.test(text) ? Number(text) : Number.NaN;
-	return value >= 1 && value <= longestDeadlineMs ? value : Number.NaN;
+	return value >= 1 && value <= maxDeadlineMs ? value : Number.NaN;
 }
--- a/src/entry/common/callers/lookupAnswer.ts
+++ b/src/entry/common/callers/lookup.ts
@@ -1,6 +1,6 @@
 /**
- * The lookup: a caller asks any entry which entries to use for a service. No balancer stands before the
- * entries, so this answer is what spreads callers over them.
+ * The lookup, with which a caller asks any entry which entries to use for a service. There is no load
+ * balancer in front of the entries, so this answer is what distributes callers over them.
  */
 
 import type { Result } from 'neverthrow';
@@ -9,41 +9,41 @@
 import { createRequestError, ErrorKind } from '../../../core/errors/common/errorKinds';
 import type { InstanceId, OrganisationName, ServiceName } from '../../../core/ids/common/ids';
 
-/** What a caller asks. */
-export interface LookupQuestion {
+/** The parsed query of a lookup. */
+export interface LookupRequest {
 	readonly service: ServiceName;
-	/** Where given, entries of the region that the organisation's requests are bound to are named. */
+	/** Where given, the answer lists entries of the region that the organisation's requests are bound to. */
 	readonly organisation: OrganisationName | undefined;
-	/** The entry that the caller has used until now; it is named first again while it is a good choice. */
+	/** The entry that the caller has used so far. It stays first in the list while it is a good choice. */
 	readonly previous: InstanceId | undefined;
-	/** Tickets wanted, for services with at-most-once calls. */
+	/** The number of tickets requested, for services with at-most-once calls. */
 	readonly tickets: number;
 }
 
-/** What it is told. */
+/** The answer to a lookup. */
 export interface LookupAnswer {
 	readonly service: ServiceName;
-	/** How long the caller may go by this answer, in milliseconds. */
+	/** How long the caller may use this answer, in milliseconds. */
 	readonly validForMs: number;
-	/** The best entry first. */
+	/** Ordered by preference, best entry first. */
 	readonly entries: readonly NamedEntry[];
-	/** Each good for one at-most-once call, at any entry of the region. */
+	/** Each is valid for one at-most-once call, at any entry of the region. */
 	readonly tickets: readonly string[];
 }
 
-const usualTickets = 4;
-const mostTickets = 64;
+const defaultTicketCount = 4;
+const maxTicketCount = 64;
 
-/** Reads the query of a lookup. */
-export function parseLookup(url: string): Result<LookupQuestion, RequestError> {
+/** Parses the query of a lookup. */
+export function parseLookup(url: string): Result<LookupRequest, RequestError> {
 	const query = new URLSearchParams(url.includes('?') ? url.slice(url.indexOf('?') + 1) : '');
 	const service = query.get('service');
 	if (service === null || service === '') {
-		return err(createRequestError(ErrorKind.UnknownService, 'the query names no service'));
+		return err(createRequestError(ErrorKind.UnknownService, 'the query parameter service is missing'));
 	}
 	const tickets = parseTicketCount(query.get('tickets'));
 	if (tickets === undefined) {
-		return err(createRequestError(ErrorKind.MalformedHeader, `tickets: 0 to ${mostTickets}`));
+		return err(createRequestError(ErrorKind.MalformedHeader, `tickets: must be 0 to ${maxTicketCount}`));
 	}
 	return ok({
 		service: service as ServiceName,
@@ -55,8 +55,8 @@
 
 function parseTicketCount(text: string | null): number | undefined {
 	if (text === null) {
-		return usualTickets;
+		return defaultTicketCount;
 	}
 	const count = /^\d{1,3}$/.test(text) ? Number(text) : Number.NaN;
-	return count <= mostTickets ? count : undefined;
+	return count <= maxTicketCount ? count : undefined;
 }
--- a/src/entry/common/callers/refusal.ts
+++ b/src/entry/common/callers/refusal.ts
@@ -1,6 +1,6 @@
 /**
- * The answer to a request that has no whole answer of a target: status, headers and a JSON body, all from
- * the fault's kind. Callers' connections and the replies to parse errors use the same one.
+ * The answer to a request for which no target gave a complete answer: status, headers and a JSON body, all
+ * derived from the kind of the error. Caller connections and the replies to HTTP parse errors both use it.
  */
 
 import type { NamedEntry, RequestError } from '../../../core/errors/common/errorKinds';
@@ -21,22 +21,22 @@
 	readonly entries?: readonly NamedEntry[];
 }
 
-/** A refusal, ready to be written. */
+/** A refusal as it is written to the connection. */
 export interface Refusal {
 	readonly status: number;
 	readonly lines: readonly HeaderLine[];
 	readonly text: string;
 }
 
-/** When a passing fault names no time of its own. */
-const usualRetryAfterMs = 1_000;
+/** Used where a temporary error has no retry time of its own. */
+const defaultRetryAfterMs = 1_000;
 const msPerSecond = 1_000;
 
-/** Makes the answer that a fault's kind stands for. */
+/** Builds the answer that belongs to the kind of an error. */
 export function createRefusal(requestId: RequestId, error: RequestError): Refusal {
 	const answer = errorAnswers[error.kind];
 	const outcome = getOutcomeOf(error);
-	const retryAfterMs = answer.isPassing ? Math.ceil(error.retryAfterMs ?? usualRetryAfterMs) : undefined;
+	const retryAfterMs = answer.isPassing ? Math.ceil(error.retryAfterMs ?? defaultRetryAfterMs) : undefined;
 	const body: RefusalBody = {
 		error: error.kind,
 		outcome,
--- a/src/entry/common/dialect/callerDialect.ts
+++ b/src/entry/common/dialect/callerDialect.ts
@@ -1,5 +1,6 @@
 /**
- * How callers speak to an entry: the form of a request's head, and of the answers that are the entry's own.
+ * The protocol between callers and an entry: the format of a request's head, and of the answers that the
+ * entry creates itself.
  */
 
 import type { Result } from 'neverthrow';
@@ -9,13 +10,17 @@
 import type { Refusal } from '../callers/refusal';
 import type { ManifestIndex } from '../placement/manifestIndex';
 
-/** One form in which callers speak. */
+/** One format of requests and answers that callers can use. */
 export interface ICallerDialect {
-	/** The id that the caller gave to the request, if it is one that can be used. */
+	/** The request id that the caller sent, if it is usable. */
 	findRequestId(raw: RawHead): string | undefined;
-	/** Reads a head by the manifest in force, if there is one yet, or tells its first fault. */
+	/**
+	 * Parses a head with the active manifest, which may not be loaded yet, or returns the first error in the
+	 * head.
+	 */
 	readHead(raw: RawHead, manifest: ManifestIndex | undefined): Result<CallHead, RequestError>;
-	/** What is added to the head of a target's answer. */
-	listAnswerLines(id: RequestId): readonly HeaderLine[];
+	/** The header lines that are added to a target's answer. */
+	createAnswerLines(id: RequestId): readonly HeaderLine[];
+	/** Builds the answer that reports an error to the caller. */
 	createRefusal(id: RequestId, error: RequestError): Refusal;
 }
--- a/src/entry/common/dialect/ownCallerDialect.ts
+++ b/src/entry/common/dialect/nativeCallerDialect.ts
@@ -1,5 +1,5 @@
 /**
- * The product's own interface to callers; docs/CALLING.md tells it.
+ * The native HTTP interface for callers, documented in docs/CALLING.md.
  */
 
 import type { Result } from 'neverthrow';
@@ -13,8 +13,8 @@
 import { createRefusal } from '../callers/refusal';
 import type { ICallerDialect } from './callerDialect';
 
-export class OwnCallerDialect implements ICallerDialect {
-	/** The entry names its callers' requests itself. */
+export class NativeCallerDialect implements ICallerDialect {
+	/** The entry generates the request ids itself. */
 	findRequestId(): undefined {
 		return undefined;
 	}
@@ -23,7 +23,7 @@
 		return parseCallHead(raw);
 	}
 
-	listAnswerLines(id: RequestId): readonly HeaderLine[] {
+	createAnswerLines(id: RequestId): readonly HeaderLine[] {
 		return [
 			{ name: headers.requestId, value: id },
 			{ name: headers.outcome, value: Outcome.Answered },
--- a/src/entry/common/dialect/ownTargetDialect.ts
+++ b/src/entry/common/dialect/nativeTargetDialect.ts
@@ -1,20 +1,20 @@
 /**
- * The product's own interface to targets; docs/PLATFORM.md tells it.
+ * The native HTTP interface to targets, documented in docs/PLATFORM.md.
  */
 
 import { headers } from '../../../core/headers/common/headers';
 import type { AnswerHead } from '../callers/answerSink';
 import type { HeaderLine } from '../callers/callHead';
-import { findHeader, listPassedOn } from '../callers/callHead';
+import { findHeader, listForwardedLines } from '../callers/callHead';
 import { parseReportedLoad } from '../scheduling/reportedLoad';
-import type { AnswerReading, ITargetDialect, SentAttempt } from './targetDialect';
+import type { AnswerMetadata, ITargetDialect, SentAttempt } from './targetDialect';
 
 const refusalStatuses: ReadonlySet<number> = new Set([429, 503]);
 
-export class OwnTargetDialect implements ITargetDialect {
-	createLines({ requestId, attemptId, head, remainingMs }: SentAttempt): readonly HeaderLine[] {
+export class NativeTargetDialect implements ITargetDialect {
+	createRequestLines({ requestId, attemptId, head, remainingMs }: SentAttempt): readonly HeaderLine[] {
 		return [
-			...head.passedOn,
+			...head.forwardedLines,
 			{ name: headers.requestId, value: requestId },
 			{ name: headers.attempt, value: attemptId },
 			{ name: headers.priority, value: head.requestClass },
@@ -24,12 +24,14 @@
 		];
 	}
 
-	readAnswer(head: AnswerHead, { attemptId, target }: SentAttempt): AnswerReading {
+	readAnswerHead(head: AnswerHead, { attemptId, target }: SentAttempt): AnswerMetadata {
 		const echoed = findHeader(head.lines, headers.attempt);
-		const isCrossed = echoed !== undefined && echoed !== String(attemptId);
+		const isMismatched = echoed !== undefined && echoed !== String(attemptId);
 		return {
 			isNotRun: refusalStatuses.has(head.status) && findHeader(head.lines, headers.targetNotRun) === '1',
-			fault: isCrossed ? `${target} answered ${echoed} to ${attemptId}` : undefined,
+			fault: isMismatched
+				? `${target} sent attempt id ${echoed} in the answer to attempt ${attemptId}`
+				: undefined,
 			load: parseReportedLoad(findHeader(head.lines, headers.targetLoad)),
 			isLeaving: findHeader(head.lines, headers.targetLeaving) === '1',
 		};
@@ -37,6 +39,6 @@
 
 	listAnswerLines(head: AnswerHead): readonly HeaderLine[] {
 		const length = head.lines.filter(line => line.name === 'content-length');
-		return [...listPassedOn(head.lines), ...length];
+		return [...listForwardedLines(head.lines), ...length];
 	}
 }
--- a/src/entry/common/dialect/targetDialect.ts
+++ b/src/entry/common/dialect/targetDialect.ts
@@ -1,6 +1,6 @@
 /**
- * How an entry speaks to targets: the lines that it adds to a request, and what an answer's head says beside
- * the answer.
+ * The protocol between an entry and targets: the header lines that the entry adds to a request, and the
+ * metadata in the head of an answer.
  */
 
 import type { AttemptId, TargetId } from '../../../core/ids/common/ids';
@@ -8,38 +8,41 @@
 import type { CallHead, HeaderLine } from '../callers/callHead';
 import type { ReportedLoad } from '../scheduling/serviceScheduler';
 
-/** One attempt as it is sent. */
+/** The data of one attempt from which its request is built. */
 export interface SentAttempt {
 	readonly requestId: string;
 	readonly attemptId: AttemptId;
 	readonly target: TargetId;
 	readonly head: CallHead;
-	/** Milliseconds until the answer is of no more use. */
+	/** Milliseconds until the deadline, after which the answer is useless to the caller. */
 	readonly remainingMs: number;
-	/** The last event of a stream that the caller has, where another attempt goes on. */
+	/** The id of the last stream event that the caller has, where this attempt continues an earlier one. */
 	readonly lastEventId: string | undefined;
-	/** Where the target can fetch what it lacks of the prompt: IP number and port of another target. */
+	/**
+	 * IP address and port of another target from which the target can fetch the missing part of the prompt's
+	 * cache.
+	 */
 	readonly fetchAddress: string | undefined;
-	/** Whether nobody else waits for the target as long as this request may. */
+	/** The request can no longer meet its response time goal, and gives way to requests that still can. */
 	readonly isDeferred: boolean;
 }
 
-/** What an answer's head says beside the answer. */
-export interface AnswerReading {
-	/** The target says that it did not run the request. */
+/** The metadata in the head of an answer. */
+export interface AnswerMetadata {
+	/** The target reports that it did not run the request. */
 	readonly isNotRun: boolean;
-	/** Why the answer cannot be this attempt's own and whole, or undefined. */
+	/** Why the answer cannot be a complete answer to this attempt, or undefined. */
 	readonly fault: string | undefined;
 	readonly load: ReportedLoad | undefined;
-	/** The target wants no new work. */
+	/** The target accepts no new requests. */
 	readonly isLeaving: boolean;
 }
 
-/** One form in which targets are spoken to. */
+/** One format of requests to targets and of their answers. */
 export interface ITargetDialect {
-	/** All lines of the request but those of the connection. */
-	createLines(attempt: SentAttempt): readonly HeaderLine[];
-	readAnswer(head: AnswerHead, attempt: SentAttempt): AnswerReading;
-	/** The lines of an answer that go on to the caller. */
+	/** All header lines of the request except the hop-by-hop headers. */
+	createRequestLines(attempt: SentAttempt): readonly HeaderLine[];
+	readAnswerHead(head: AnswerHead, attempt: SentAttempt): AnswerMetadata;
+	/** The header lines of an answer that are forwarded to the caller. */
 	listAnswerLines(head: AnswerHead): readonly HeaderLine[];
 }
--- a/src/entry/common/requests/test/requestLife.test.ts
+++ b/src/entry/common/requests/test/requestLifecycle.test.ts
@@ -1,20 +1,27 @@
 import { createRequestError, ErrorKind, getOutcomeOf } from '../../../../core/errors/common/errorKinds';
 import { Outcome } from '../../../../core/errors/common/outcome';
 import type { TypedChart } from '../../../../core/charts/common/typedChart';
-import { getOutcomeOfState, requestChart, RequestEvent, RequestLife, RequestState } from '../requestLife';
+import {
+	getOutcomeOfState,
+	requestChart,
+	RequestEvent,
+	RequestLifecycle,
+	RequestState,
+} from '../requestLifecycle';
 
-type Edges = Pick<TypedChart<RequestState, RequestEvent>, 'findNext'>;
+type Transitions = Pick<TypedChart<RequestState, RequestEvent>, 'findNext'>;
 
 const states = Object.values(RequestState);
 const events = Object.values(RequestEvent);
-const wordsOfOtherEnd = [RequestEvent.TargetRefused, RequestEvent.PeerRefused, RequestEvent.RunRefused];
+const refusalEvents = [RequestEvent.TargetRefused, RequestEvent.PeerRefused, RequestEvent.RunRefused];
 
 /**
- * Walks every reachable pair of a state and what happened so far: whether an attempt is handed over and
- * without a word, and whether an earlier one broke. Gives the paths that end `notRun` though it may have run.
+ * Visits every reachable combination of a state and the history of the request: whether an attempt was
+ * handed over without an explicit refusal yet, and whether an earlier attempt failed. Returns the paths that
+ * reach an outcome of `not-run` although the request may have run.
  */
-function findLies(chart: Edges): string[] {
-	const lies: string[] = [];
+function findFalseNotRunPaths(chart: Transitions): string[] {
+	const falsePaths: string[] = [];
 	const seen = new Set<string>();
 	const visit = (state: RequestState, isHandedOver: boolean, isInDoubt: boolean, path: string): void => {
 		const key = `${state} ${isHandedOver} ${isInDoubt}`;
@@ -23,7 +30,7 @@
 		}
 		seen.add(key);
 		if (getOutcomeOfState(state) === Outcome.NotRun && (isHandedOver || isInDoubt)) {
-			lies.push(path);
+			falsePaths.push(path);
 		}
 		for (const event of events) {
 			const next = chart.findNext(state, event);
@@ -32,16 +39,16 @@
 			}
 			const isBegun = event === RequestEvent.HandOver || event === RequestEvent.Join;
 			const isBroken = event === RequestEvent.Retry || event === RequestEvent.Fail;
-			const isOver = isBroken || wordsOfOtherEnd.includes(event);
+			const isOver = isBroken || refusalEvents.includes(event);
 			visit(next, isBegun || (isHandedOver && !isOver), isInDoubt || isBroken, `${path} ${event}`);
 		}
 	};
 	visit(RequestState.Received, false, false, '');
-	return lies;
+	return falsePaths;
 }
 
-function createLife(...path: RequestEvent[]): RequestLife {
-	const life = new RequestLife();
+function createLifecycle(...path: RequestEvent[]): RequestLifecycle {
+	const life = new RequestLifecycle();
 	[RequestEvent.AcceptHead, RequestEvent.Enqueue, ...path].forEach(event => life.send(event));
 	return life;
 }
@@ -50,12 +57,12 @@
 const overloaded = createRequestError(ErrorKind.Overloaded, 'full');
 
 describe('request chart', () => {
-	it('says not-run on no path on which a request may have run', () => {
-		expect(findLies(requestChart)).toEqual([]);
+	it('has no path to not-run on which a request may have run', () => {
+		expect(findFalseNotRunPaths(requestChart)).toEqual([]);
 	});
 
-	// A chart is edited by hand, and an edge too many is easily written. A caller would then be told that
-	// its payment was not run and pay again. Each such edge has to be found by the walk above.
+	// The chart is edited by hand, and a wrong transition is easily added. A caller would then be told that its
+	// payment was not run, and would pay again. The search above must find each of these transitions.
 	it.each([
 		[RequestState.HandedOver, RequestEvent.Fail, RequestState.NotRun],
 		[RequestState.HandedOver, RequestEvent.Retry, RequestState.Queued],
@@ -63,14 +70,14 @@
 		[RequestState.HandedOverInDoubt, RequestEvent.TargetRefused, RequestState.Queued],
 		[RequestState.QueuedInDoubt, RequestEvent.Refuse, RequestState.NotRun],
 		[RequestState.Joined, RequestEvent.CallerGone, RequestState.NotRun],
-	])('is found wrong with an edge from %s by %s to %s', (from, by, to) => {
-		const broken: Edges = {
+	])('is reported as wrong with a transition from %s by %s to %s', (from, by, to) => {
+		const broken: Transitions = {
 			findNext: (state, event) => (state === from && event === by ? to : requestChart.findNext(state, event)),
 		};
-		expect(findLies(broken)).not.toEqual([]);
+		expect(findFalseNotRunPaths(broken)).not.toEqual([]);
 	});
 
-	it('can end from every state that is not an end', () => {
+	it('can end from every state that is not final', () => {
 		const ends = [RequestState.Answered, RequestState.NotRun, RequestState.Unknown];
 		for (const state of states.filter(candidate => !ends.includes(candidate))) {
 			expect(ends).toContain(requestChart.findNext(state, RequestEvent.CallerGone));
@@ -79,28 +86,43 @@
 });
 
 describe('RequestLife', () => {
-	// One target takes the request and dies; the next one says that it is full and did not run it. The
-	// refusal is true of the second target only, and a caller told not-run would run the request twice.
-	it('ends unknown when one attempt broke and another was refused, in either order', () => {
-		const brokenFirst = createLife(...attempt, RequestEvent.Retry, ...attempt, RequestEvent.TargetRefused);
+	// One target accepts the request and crashes. The next one is full and refuses the request without running
+	// it. The refusal holds for the second target only, and a caller that was told not-run would run it twice.
+	it('ends unknown when one attempt failed and another was refused, in either order', () => {
+		const brokenFirst = createLifecycle(
+			...attempt,
+			RequestEvent.Retry,
+			...attempt,
+			RequestEvent.TargetRefused,
+		);
 		expect(getOutcomeOf(brokenFirst.refuse(overloaded))).toBe(Outcome.Unknown);
-		const refusedFirst = createLife(...attempt, RequestEvent.TargetRefused, ...attempt, RequestEvent.Retry);
+		const refusedFirst = createLifecycle(
+			...attempt,
+			RequestEvent.TargetRefused,
+			...attempt,
+			RequestEvent.Retry,
+		);
 		expect(getOutcomeOf(refusedFirst.refuse(overloaded))).toBe(Outcome.Unknown);
 	});
 
 	it('ends not-run when every target that was asked refused', () => {
-		const life = createLife(...attempt, RequestEvent.TargetRefused, ...attempt, RequestEvent.TargetRefused);
+		const life = createLifecycle(
+			...attempt,
+			RequestEvent.TargetRefused,
+			...attempt,
+			RequestEvent.TargetRefused,
+		);
 		expect(life.refuse(overloaded)).toEqual(overloaded);
 		expect(life.getState()).toBe(RequestState.NotRun);
 	});
 
-	it('never strengthens what the kind says', () => {
-		const error = createRequestError(ErrorKind.Internal, 'a fault before anything was sent');
-		expect(getOutcomeOf(createLife().refuse(error))).toBe(Outcome.Unknown);
+	it('never changes an unknown outcome of the error kind to not-run', () => {
+		const error = createRequestError(ErrorKind.Internal, 'an error before anything was sent');
+		expect(getOutcomeOf(createLifecycle().refuse(error))).toBe(Outcome.Unknown);
 	});
 
-	it('keeps its end when it is refused after it', () => {
-		const life = createLife(...attempt, RequestEvent.FirstByte, RequestEvent.LastByte);
+	it('keeps its final state when it is refused after the end', () => {
+		const life = createLifecycle(...attempt, RequestEvent.FirstByte, RequestEvent.LastByte);
 		life.refuse(overloaded);
 		expect(life.getState()).toBe(RequestState.Answered);
 	});
--- a/src/entry/common/tickets/ticket.ts
+++ b/src/entry/common/tickets/ticket.ts
@@ -1,11 +1,12 @@
 /**
- * Tickets for calls that run at most once. A ticket names the one start of the one instance that may
- * dispatch the call; entries keep no shared state, so a single decider is what stands in its place. A
- * keyed check keeps callers from making or altering tickets: an altered number would let a spent ticket
- * run again.
+ * Tickets for calls that run at most once. A ticket is a signed single-use token that names the one boot
+ * (start of a process) of the one instance that may dispatch the call. Entries share no state, so that
+ * instance alone decides whether the call runs. The signature keeps callers from creating or altering
+ * tickets: with an altered number, the call of a spent ticket could run again.
  *
- * The text is `1:issuer:boot:number:expiry:check`, safe in a header. The expiry is on the issuer's own
- * monotonic clock and means nothing to another process.
+ * The format is `1:issuer:boot:number:expiry:check`, where `check` is the signature, in characters that are
+ * safe in a header. The expiry is a time on the issuer's own monotonic clock and has no meaning in another
+ * process.
  */
 
 import type { Result } from 'neverthrow';
@@ -20,52 +21,54 @@
 	readonly boot: BootId;
 }
 
-/** A ticket whose check held. */
+/** A ticket whose signature was verified. */
 export interface Ticket {
 	readonly issuer: InstanceBoot;
-	/** Counted from 1 by the issuer's boot. */
+	/** A sequence number that starts at 1 in each boot of the issuer. */
 	readonly number: number;
-	/** Monotonic milliseconds of the issuer; the ticket is spent from then on, used or not. */
+	/** Milliseconds on the issuer's monotonic clock. From then on the ticket is refused, used or not. */
 	readonly expiresMs: number;
 }
 
-/** The keyed check. */
+/** Signs tickets and verifies their signatures with a secret key. */
 export interface ITicketSigner {
-	/** The check of a text under the current key, in characters that a header may hold, no colon. */
+	/**
+	 * The signature of a text with the current key, in characters that are valid in a header, without a colon.
+	 */
 	sign(text: string): string;
-	/** Whether a check is right under the current or the previous key; takes the same time either way. */
-	verify(text: string, check: string): boolean;
+	/** Whether a signature is valid with the current or the previous key. Runs in constant time. */
+	verify(text: string, signature: string): boolean;
 }
 
 const formatVersion = '1';
-const longestTicket = 512;
+const maxTicketLength = 512;
 const ticketPattern =
 	/^(1:([a-z0-9.-]+):([A-Za-z0-9_-]+):([1-9]\d{0,15}):(0|[1-9]\d{0,15})):([A-Za-z0-9_-]+)$/;
 
 /**
- * Never `not-run`: while a new key is being taken over, an entry that does not have it yet sees a wrong
- * check on a good ticket, whose first copy may have run at its issuer.
+ * Never `not-run`: during a key rotation, an entry that does not have the new key yet finds the signature of
+ * a valid ticket invalid, and an earlier copy of that call may have run at the ticket's issuer.
  */
 function refuseTicket(): Result<never, RequestError> {
-	const detail = 'the ticket cannot be read or its check is wrong';
+	const detail = 'the ticket is malformed or its signature is invalid';
 	return err(createRequestError(ErrorKind.TicketForged, detail, { isOutcomeUnknown: true }));
 }
 
-/** The text of a ticket, check included. */
+/** Formats a ticket with its signature. */
 export function formatTicket(ticket: Ticket, signer: ITicketSigner): string {
 	const { instance, boot } = ticket.issuer;
 	const text = [formatVersion, instance, boot, ticket.number, ticket.expiresMs].join(':');
 	return `${text}:${signer.sign(text)}`;
 }
 
-/** Reads a ticket's text and verifies its check; a text that is not canonical is TicketForged. */
+/** Parses a ticket and verifies its signature. Text that is not in canonical form gives TicketForged. */
 export function parseTicket(text: string, signer: ITicketSigner): Result<Ticket, RequestError> {
-	const match = text.length > longestTicket ? null : ticketPattern.exec(text);
+	const match = text.length > maxTicketLength ? null : ticketPattern.exec(text);
 	if (match === null) {
 		return refuseTicket();
 	}
-	const [, signed = '', instance = '', boot = '', number = '', expiresMs = '', check = ''] = match;
-	if (!signer.verify(signed, check)) {
+	const [, signed = '', instance = '', boot = '', number = '', expiresMs = '', signature = ''] = match;
+	if (!signer.verify(signed, signature)) {
 		return refuseTicket();
 	}
 	return ok({
--- a/src/entry/common/tickets/ticketIssuer.ts
+++ b/src/entry/common/tickets/ticketIssuer.ts
@@ -1,22 +1,22 @@
 /**
- * Issues the tickets of one start of one instance.
+ * Issues the tickets of one boot of one instance.
  */
 
 import type { InstanceBoot, ITicketSigner } from './ticket';
 import { formatTicket } from './ticket';
 
-/** Numbers and signs tickets; keeps nothing of a ticket until it is presented. */
+/** Numbers and signs tickets. An issued ticket takes no memory until it is presented. */
 export class TicketIssuer {
 	private issued = 0;
 
-	/** `lifetimeMs` bounds how long a spent number must be remembered. */
+	/** `lifetimeMs` limits how long the number of a spent ticket must stay recorded. */
 	constructor(
 		readonly own: InstanceBoot,
 		private readonly signer: ITicketSigner,
 		private readonly lifetimeMs: number,
 	) {}
 
-	/** The text of a fresh ticket. */
+	/** The text of a new ticket. */
 	issue(nowMs: number): string {
 		this.issued++;
 		const ticket = {
@@ -27,7 +27,7 @@
 		return formatTicket(ticket, this.signer);
 	}
 
-	/** The texts of `count` fresh tickets. */
+	/** The texts of `count` new tickets. */
 	issueBatch(count: number, nowMs: number): readonly string[] {
 		return Array.from({ length: count }, () => this.issue(nowMs));
 	}
--- a/src/entry/common/tickets/ticketRoute.ts
+++ b/src/entry/common/tickets/ticketRoute.ts
@@ -1,7 +1,8 @@
 /**
- * Where a ticketed call goes from the entry that a caller sent it to. Only the boot that issued the ticket
- * may dispatch it. Any other entry cannot know whether an earlier copy ran, so whatever it refuses is
- * `unknown`; and it never runs the call itself, also when the issuer is gone for good.
+ * Decides where a call with a ticket goes from the entry that received it. Only the boot that issued the
+ * ticket may dispatch the call. Any other entry has no record of whether an earlier copy ran, so the outcome
+ * of its refusals is always `unknown`, and it never runs the call itself, even when the issuer is
+ * permanently gone.
  */
 
 import type { RequestError } from '../../../core/errors/common/errorKinds';
@@ -9,19 +10,20 @@
 import type { InstanceId, RegionName } from '../../../core/ids/common/ids';
 import type { InstanceBoot, Ticket } from './ticket';
 
-/** What this entry knows of another one. */
-export interface KnownEntry {
+/** The boot and the region of an entry. */
+export interface EntryIdentity {
 	readonly own: InstanceBoot;
 	readonly region: RegionName;
 }
 
-/** The entries in view, as the fleet view knows them. */
+/** Looks up the entries that are listed in the fleet view. */
 export interface IEntryDirectory {
-	findEntry(instance: InstanceId): KnownEntry | undefined;
+	findEntry(instance: InstanceId): EntryIdentity | undefined;
 }
 
+/** The possible decisions for a call with a ticket. */
 export enum TicketRouteKind {
-	/** This boot issued it: ask the ledger. */
+	/** This boot issued the ticket, and its ledger decides. */
 	Own = 'own',
 	/** Forward the call to the entry that issued it. */
 	Forward = 'forward',
@@ -33,8 +35,8 @@
 	| { readonly kind: TicketRouteKind.Forward; readonly to: InstanceId }
 	| { readonly kind: TicketRouteKind.Refuse; readonly error: RequestError };
 
-/** A refusal by an entry that did not issue the ticket: the same kind, and never more than `unknown`. */
-export function refuseAsOther(error: RequestError): RequestError {
+/** The same error with the outcome `unknown`, for refusals by an entry that did not issue the ticket. */
+export function withUnknownOutcome(error: RequestError): RequestError {
 	return { ...error, isOutcomeUnknown: true };
 }
 
@@ -45,38 +47,38 @@
 	};
 }
 
-/** Whether two names mean the same start of the same instance. */
+/** Whether both are the same boot of the same instance. */
 export function isSameBoot(left: InstanceBoot, right: InstanceBoot): boolean {
 	return left.instance === right.instance && left.boot === right.boot;
 }
 
 /**
- * Decides for a call that a caller sent here. A forwarded call that is not `Own` is refused, since it has
- * used its one hop. A view that still names the issuer's earlier or later boot makes no difference: the
- * issuer itself compares the boot again.
+ * Decides where a call goes that a caller or another entry sent here. A forwarded call is refused unless
+ * this boot issued its ticket, because a call is forwarded only once. It does not matter whether the fleet
+ * view lists an earlier or later boot of the issuer, because the issuer compares the boot again.
  */
 export function decideTicketRoute(
 	ticket: Ticket,
-	own: KnownEntry,
+	localEntry: EntryIdentity,
 	directory: IEntryDirectory,
 	isForwarded: boolean,
 ): TicketRoute {
 	const { instance, boot } = ticket.issuer;
-	if (isSameBoot(ticket.issuer, own.own)) {
+	if (isSameBoot(ticket.issuer, localEntry.own)) {
 		return { kind: TicketRouteKind.Own };
 	}
-	if (instance === own.own.instance) {
+	if (instance === localEntry.own.instance) {
 		return refuseIssuerGone(`${instance} restarted after boot ${boot}`);
 	}
 	if (isForwarded) {
-		return refuseIssuerGone(`forwarded to ${own.own.instance}, which is not the issuer ${instance}`);
+		return refuseIssuerGone(`forwarded to ${localEntry.own.instance}, which is not the issuer ${instance}`);
 	}
 	const issuer = directory.findEntry(instance);
 	if (issuer === undefined) {
-		return refuseIssuerGone(`${instance} is not in view`);
+		return refuseIssuerGone(`${instance} is not in the fleet view`);
 	}
-	if (issuer.region !== own.region) {
-		return refuseIssuerGone(`${instance} is in ${issuer.region}, this entry in ${own.region}`);
+	if (issuer.region !== localEntry.region) {
+		return refuseIssuerGone(`${instance} is in ${issuer.region}, this entry is in ${localEntry.region}`);
 	}
 	return { kind: TicketRouteKind.Forward, to: instance };
 }
--- a/src/entry/node/callHandler.ts
+++ b/src/entry/node/callHandler.ts
@@ -29,7 +29,7 @@
 import type { IAnswerSink } from '../common/callers/answerSink';
 import type { CallHead, RawHead } from '../common/callers/callHead';
 import type { ICallerDialect } from '../common/dialect/callerDialect';
-import type { LookupAnswer, LookupQuestion } from '../common/callers/lookupAnswer';
+import type { LookupAnswer, LookupRequest } from '../common/callers/lookup';
 import type { CallPlan, ForwardedFrom } from '../common/placement/callPlan';
 import { checkForwarded, planCall } from '../common/placement/callPlan';
 import { isFinishable } from '../common/leaving/finishable';
@@ -157,7 +157,7 @@
 		this.router.take(call, sink, this.ownView.isRefusing() ? this.createLeavingFault() : undefined);
 	}
 
-	findEntries(question: LookupQuestion): Result<LookupAnswer, RequestError> {
+	findEntries(question: LookupRequest): Result<LookupAnswer, RequestError> {
 		const manifest = this.manifests.getCurrent();
 		if (manifest === undefined) {
 			return err(createRequestError(ErrorKind.NoManifest, 'neither the platform nor a peer has given one'));
@@ -258,7 +258,7 @@
 
 function findHome(
 	service: ManifestService,
-	question: LookupQuestion,
+	question: LookupRequest,
 	manifest: IndexedManifest,
 ): RegionName | undefined {
 	const isBound = [service, ...service.rules].some(rule => rule.residency === ResidencyRule.Home);
--- a/src/entry/node/callers/callerServer.ts
+++ b/src/entry/node/callers/callerServer.ts
@@ -18,8 +18,8 @@
 import type { IAnswerSink } from '../../common/callers/answerSink';
 import type { CallHead, HeaderLine, RawHead } from '../../common/callers/callHead';
 import { findHeader } from '../../common/callers/callHead';
-import type { LookupAnswer, LookupQuestion } from '../../common/callers/lookupAnswer';
-import { parseLookup } from '../../common/callers/lookupAnswer';
+import type { LookupAnswer, LookupRequest } from '../../common/callers/lookup';
+import { parseLookup } from '../../common/callers/lookup';
 import type { ICallerDialect } from '../../common/dialect/callerDialect';
 import type { RequestIntake } from '../../common/intake/requestIntake';
 import type { CallPlan } from '../../common/placement/callPlan';
@@ -44,7 +44,7 @@
 	/** Counts and records a call that ended before it was accepted. */
 	recordRefused(call: RefusedCall, error: RequestError): void;
 	accept(call: AcceptedCall, sink: IAnswerSink): void;
-	findEntries(question: LookupQuestion): Result<LookupAnswer, RequestError>;
+	findEntries(question: LookupRequest): Result<LookupAnswer, RequestError>;
 	isLeaving(): boolean;
 }
 
--- a/src/entry/node/callers/callerSink.ts
+++ b/src/entry/node/callers/callerSink.ts
@@ -33,7 +33,7 @@
 			this.endsWithConnection = true;
 			this.response.useChunkedEncodingByDefault = false;
 		}
-		this.writeHead(head.status, [...head.lines, ...this.dialect.listAnswerLines(this.requestId)]);
+		this.writeHead(head.status, [...head.lines, ...this.dialect.createAnswerLines(this.requestId)]);
 	}
 
 	write(chunk: Uint8Array): boolean {
--- a/src/entry/node/callers/test/callerServer.test.ts
+++ b/src/entry/node/callers/test/callerServer.test.ts
@@ -11,7 +11,7 @@
 import { ImmediateTurnScheduler } from '../../immediateTurnScheduler';
 import type { HandlerWorld } from '../../test/callHandlerFixtures';
 import { createHandlerWorld } from '../../test/callHandlerFixtures';
-import { OwnCallerDialect } from '../../../common/dialect/ownCallerDialect';
+import { NativeCallerDialect } from '../../../common/dialect/nativeCallerDialect';
 import { CallerServer } from '../callerServer';
 
 const owned = new DisposableStore();
@@ -24,7 +24,7 @@
 	const limits = { mostHeadBytes: 2_048, mostBodyBytes: 100 };
 	const server = new CallerServer(
 		world.handler,
-		new OwnCallerDialect(),
+		new NativeCallerDialect(),
 		world.held,
 		limits,
 		new RequestIntake(new ImmediateTurnScheduler(), world.flow.timers, new SeededRandom(1), () => undefined),
--- a/src/entry/node/callers/test/callerSink.test.ts
+++ b/src/entry/node/callers/test/callerSink.test.ts
@@ -4,7 +4,7 @@
 import { connect } from 'node:net';
 import { createRequestError, ErrorKind } from '../../../../core/errors/common/errorKinds';
 import type { RequestId } from '../../../../core/ids/common/ids';
-import { OwnCallerDialect } from '../../../common/dialect/ownCallerDialect';
+import { NativeCallerDialect } from '../../../common/dialect/nativeCallerDialect';
 import { CallerSink } from '../callerSink';
 
 const uploadBytes = 16_777_216;
@@ -13,7 +13,13 @@
 
 async function openRefusingServer(): Promise<Server> {
 	const server = createServer((request, response) => {
-		const sink = new CallerSink('r-1' as RequestId, new OwnCallerDialect(), request, response, () => false);
+		const sink = new CallerSink(
+			'r-1' as RequestId,
+			new NativeCallerDialect(),
+			request,
+			response,
+			() => false,
+		);
 		sink.refuse(createRequestError(ErrorKind.BodyTooLarge, 'at most 8 bytes'));
 	});
 	await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve));
--- a/src/entry/node/environment/ownEnvironment.ts
+++ b/src/entry/node/environment/ownEnvironment.ts
@@ -4,8 +4,8 @@
 
 import type { IRandom } from '../../../base/common/random';
 import type { EntrySettings } from '../../../core/settings/common/entrySettings';
-import { OwnCallerDialect } from '../../common/dialect/ownCallerDialect';
-import { OwnTargetDialect } from '../../common/dialect/ownTargetDialect';
+import { NativeCallerDialect } from '../../common/dialect/nativeCallerDialect';
+import { NativeTargetDialect } from '../../common/dialect/nativeTargetDialect';
 import type { LeavingTimes } from '../../common/leaving/planLeaving';
 import { planLeaving } from '../../common/leaving/planLeaving';
 import { ServiceScheduler } from '../../common/scheduling/scheduler';
@@ -24,8 +24,8 @@
 const usualNewsWithinMs = 9_000;
 
 export class OwnEnvironment implements IEntryEnvironment {
-	readonly callers = new OwnCallerDialect();
-	readonly targets = new OwnTargetDialect();
+	readonly callers = new NativeCallerDialect();
+	readonly targets = new NativeTargetDialect();
 	readonly leaving: LeavingTimes;
 
 	constructor(private readonly settings: EntrySettings) {
--- a/src/entry/node/fleet/entryFleet.ts
+++ b/src/entry/node/fleet/entryFleet.ts
@@ -23,7 +23,7 @@
 import { FleetView } from '../../common/fleetView/fleetView';
 import type { KnownEntry as LookupEntry } from '../../common/lookup/rankEntries';
 import { defaultFleetViewFigures } from '../../common/scheduling/policy';
-import type { IEntryDirectory, KnownEntry } from '../../common/tickets/ticketRoute';
+import type { IEntryDirectory, EntryIdentity } from '../../common/tickets/ticketRoute';
 import type { PeerClients, PeerConnection } from '../peers/peerClients';
 import type { EntrySharing } from '../targets/targetDirectory';
 import type { ExchangeContact } from './contacts';
@@ -133,7 +133,7 @@
 		return [...heard, ...this.contacts.listSilent().map(createListedCandidate)];
 	}
 
-	findEntry(instance: InstanceId): KnownEntry | undefined {
+	findEntry(instance: InstanceId): EntryIdentity | undefined {
 		const view = this.views.find(instance, this.timers.getNow())?.view;
 		return view === undefined ? undefined : { own: { instance, boot: view.bootId }, region: view.region };
 	}
--- a/src/entry/node/peers/forwardRun.ts
+++ b/src/entry/node/peers/forwardRun.ts
@@ -17,7 +17,7 @@
 	ForwardRequestRequest,
 } from '../../../gen/anvilroad/peer/v1/peer_pb';
 import { ForwardRequestRequestSchema } from '../../../gen/anvilroad/peer/v1/peer_pb';
-import { RequestEvent } from '../../common/requests/requestLife';
+import { RequestEvent } from '../../common/requests/requestLifecycle';
 import type { RequestRun } from '../requests/requestRun';
 import type { PeerConnection } from './peerClients';
 
@@ -231,7 +231,7 @@
 					requestClass: head.requestClass,
 					method: head.method,
 					path: head.path,
-					headers: head.passedOn.map(({ name, value }) => ({ name, value })),
+					headers: head.forwardedLines.map(({ name, value }) => ({ name, value })),
 					remainingMs: Math.min(largestUint32, Math.floor(this.run.getRemainingMs())),
 					isDeadlineGiven: this.run.call.isDeadlineGiven,
 					prefixKey: head.prefixKey ?? '',
--- a/src/entry/node/peers/peerServer.ts
+++ b/src/entry/node/peers/peerServer.ts
@@ -37,7 +37,7 @@
 import { ExchangeViewsResponseSchema, PeerService } from '../../../gen/anvilroad/peer/v1/peer_pb';
 import type { IAnswerSink } from '../../common/callers/answerSink';
 import type { CallHead, RawHead } from '../../common/callers/callHead';
-import { listPassedOn } from '../../common/callers/callHead';
+import { listForwardedLines } from '../../common/callers/callHead';
 import type { IsAbandoned, RequestIntake } from '../../common/intake/requestIntake';
 import type { CallPlan, ForwardedFrom } from '../../common/placement/callPlan';
 import type { HeldBytes } from '../callers/bodyReader';
@@ -231,7 +231,7 @@
 		deadlineMs: message.remainingMs,
 		prefixKey: message.prefixKey === '' ? undefined : message.prefixKey,
 		ticket: message.ticket === '' ? undefined : message.ticket,
-		passedOn: listPassedOn(message.headers),
+		forwardedLines: listForwardedLines(message.headers),
 	});
 }
 
--- a/src/entry/node/requests/activeRuns.ts
+++ b/src/entry/node/requests/activeRuns.ts
@@ -14,7 +14,7 @@
 import type { EntryMetrics } from '../../../core/telemetry/node/entryMetrics';
 import type { IAnswerSink } from '../../common/callers/answerSink';
 import type { CallHead } from '../../common/callers/callHead';
-import { RequestLife } from '../../common/requests/requestLife';
+import { RequestLifecycle } from '../../common/requests/requestLifecycle';
 import type { AttemptEnd } from '../../common/scheduling/serviceScheduler';
 import type { HeldBytes } from '../callers/bodyReader';
 import type { AcceptedCall, IRunObserver, RequestEnd } from './requestRun';
@@ -52,7 +52,7 @@
 		this.journal.open(call.id, { service, organisation, requestClass }, call.arrivedMs);
 		const line = `${call.head.method} ${call.head.path}`;
 		this.journal.note(call.id, JournalStep.Received, line, call.arrivedMs);
-		const run = new RequestRun(call, new RequestLife(), sink, this.journal, this.timers, this);
+		const run = new RequestRun(call, new RequestLifecycle(), sink, this.journal, this.timers, this);
 		this.runs.add(run);
 		this.ids.add(call.id);
 		return run;
--- a/src/entry/node/requests/attemptEnds.ts
+++ b/src/entry/node/requests/attemptEnds.ts
@@ -4,7 +4,7 @@
 
 import type { RequestError } from '../../../core/errors/common/errorKinds';
 import { ErrorKind } from '../../../core/errors/common/errorKinds';
-import { RequestEvent, RequestState } from '../../common/requests/requestLife';
+import { RequestEvent, RequestState } from '../../common/requests/requestLifecycle';
 import { AttemptEnd } from '../../common/scheduling/serviceScheduler';
 import type { RequestRun } from './requestRun';
 
--- a/src/entry/node/requests/attemptRun.ts
+++ b/src/entry/node/requests/attemptRun.ts
@@ -11,8 +11,8 @@
 import type { AttemptId, TargetId } from '../../../core/ids/common/ids';
 import { createAttemptId } from '../../../core/ids/common/ids';
 import type { AnswerHead } from '../../common/callers/answerSink';
-import type { AnswerReading, ITargetDialect, SentAttempt } from '../../common/dialect/targetDialect';
-import { RequestEvent } from '../../common/requests/requestLife';
+import type { AnswerMetadata, ITargetDialect, SentAttempt } from '../../common/dialect/targetDialect';
+import { RequestEvent } from '../../common/requests/requestLifecycle';
 import { AttemptEnd } from '../../common/scheduling/serviceScheduler';
 import { AnswerPace } from '../../common/streams/answerPace';
 import type { IAttempt, IAttemptObserver, ITargetClient } from '../targets/targetClient';
@@ -25,7 +25,7 @@
 export interface IAttemptOwner {
 	noteFirstByte(attempt: AttemptRun): void;
 	/** The head of an answer or of a refusal: it may carry the target's load or its wish to leave. */
-	noteAnswerHead(attempt: AttemptRun, head: AnswerHead, reading: AnswerReading): void;
+	noteAnswerHead(attempt: AttemptRun, head: AnswerHead, reading: AnswerMetadata): void;
 	/** Whether the request would be made again if the target's answer were a failure. */
 	isTakenBack(attempt: AttemptRun): boolean;
 	/** Called once. `error` says what the caller is told if no other attempt is made. */
@@ -70,7 +70,7 @@
 		});
 		const { head, body } = this.run.call;
 		this.attempt = this.client.send(
-			{ method: head.method, path: head.path, lines: this.dialect.createLines(this.describe()), body },
+			{ method: head.method, path: head.path, lines: this.dialect.createRequestLines(this.describe()), body },
 			this,
 		);
 	}
@@ -103,7 +103,7 @@
 			return;
 		}
 		this.heardMs = this.timers.getNow();
-		const reading = this.dialect.readAnswer(head, this.describe());
+		const reading = this.dialect.readAnswerHead(head, this.describe());
 		if (reading.fault !== undefined) {
 			this.endEarly(AttemptEnd.Failed, createRequestError(ErrorKind.AnswerCrossed, reading.fault));
 			return;
@@ -130,7 +130,7 @@
 			return true;
 		}
 		this.heardMs = this.timers.getNow();
-		this.pace.notePiece(this.heardMs);
+		this.pace.recordChunk(this.heardMs);
 		const isReady = this.run.write(chunk);
 		if (!isReady) {
 			this.pauseForReader();
@@ -162,7 +162,7 @@
 	}
 
 	private beginAnswer(head: AnswerHead): void {
-		this.pace.noteHead(this.timers.getNow());
+		this.pace.recordHead(this.timers.getNow());
 		this.owner.noteFirstByte(this);
 		const { status, endsWithConnection = false } = head;
 		this.run.begin({ status, lines: this.dialect.listAnswerLines(head), endsWithConnection });
--- a/src/entry/node/requests/crashWatch.ts
+++ b/src/entry/node/requests/crashWatch.ts
@@ -8,7 +8,7 @@
 import type { ITimerService } from '../../../base/common/timerService';
 import type { RequestError } from '../../../core/errors/common/errorKinds';
 import type { Fingerprint, TargetId } from '../../../core/ids/common/ids';
-import { describeCall } from '../../common/atMostOnce/callFingerprint';
+import { encodeCallIdentity } from '../../common/atMostOnce/callFingerprint';
 import type { Quarantine } from '../../common/quarantine/quarantine';
 import type { AcceptedCall } from './requestRun';
 
@@ -27,7 +27,7 @@
 function createCrashFingerprint(call: AcceptedCall): Fingerprint {
 	const { service, organisation, method, path } = call.head;
 	const hash = xxh3.Xxh3.withSeed();
-	hash.update(describeCall({ service, organisation, method, path }));
+	hash.update(encodeCallIdentity({ service, organisation, method, path }));
 	hash.update(call.body);
 	return hash.digest().toString(hexadecimal) as Fingerprint;
 }
--- a/src/entry/node/requests/recordingSink.ts
+++ b/src/entry/node/requests/recordingSink.ts
@@ -7,7 +7,7 @@
 import type { RequestError } from '../../../core/errors/common/errorKinds';
 import { createRequestError, ErrorKind } from '../../../core/errors/common/errorKinds';
 import type { TicketRun } from '../../common/atMostOnce/ticketRun';
-import { RunEndKind } from '../../common/atMostOnce/ticketRun';
+import { RunResultKind } from '../../common/atMostOnce/ticketRun';
 import type { AnswerHead, IAnswerSink } from '../../common/callers/answerSink';
 
 /** Larger answers are delivered but not kept; a resend is then told `unknown`. */
@@ -61,7 +61,7 @@
 		if (!this.isCallerGone) {
 			this.caller.end();
 		}
-		this.run.end({ kind: RunEndKind.Answered, answer: this.createKept() });
+		this.run.end({ kind: RunResultKind.Answered, answer: this.createKept() });
 	}
 
 	cut(): void {
@@ -69,14 +69,14 @@
 			this.caller.cut();
 		}
 		const error = createRequestError(ErrorKind.TargetFailed, 'the answer broke off');
-		this.run.end({ kind: RunEndKind.Failed, error });
+		this.run.end({ kind: RunResultKind.Failed, error });
 	}
 
 	refuse(error: RequestError): void {
 		if (!this.isCallerGone) {
 			this.caller.refuse(error);
 		}
-		this.run.end({ kind: RunEndKind.Failed, error });
+		this.run.end({ kind: RunResultKind.Failed, error });
 	}
 
 	/** The run is not its caller's to abandon. */
--- a/src/entry/node/requests/requestRouter.ts
+++ b/src/entry/node/requests/requestRouter.ts
@@ -12,7 +12,7 @@
 import type { TicketResult } from '../../../core/telemetry/common/entryMetricLabels';
 import type { IAnswerSink } from '../../common/callers/answerSink';
 import { isAllowedRegion } from '../../common/placement/callPlan';
-import { RequestEvent } from '../../common/requests/requestLife';
+import { RequestEvent } from '../../common/requests/requestLifecycle';
 import type { ISendAwayPolicy, OwnerRegion, RemoteOffer } from '../../common/sendAway/sendAwayPolicy';
 import type { ForwardEnd, ForwardWay } from '../peers/forwardRun';
 import { ForwardEndKind, ForwardRun } from '../peers/forwardRun';
--- a/src/entry/node/requests/requestRun.ts
+++ b/src/entry/node/requests/requestRun.ts
@@ -16,9 +16,9 @@
 import { findHeader } from '../../common/callers/callHead';
 import { RouteKind } from '../../../core/manifest/common/routes';
 import type { CallPlan } from '../../common/placement/callPlan';
-import { RequestEvent, RequestLife } from '../../common/requests/requestLife';
+import { RequestEvent, RequestLifecycle } from '../../common/requests/requestLifecycle';
 import type { AttemptEnd } from '../../common/scheduling/serviceScheduler';
-import { EventCutter } from '../../common/streams/eventCutter';
+import { EventStreamSplitter } from '../../common/streams/eventStreamSplitter';
 
 /** Which entry forwarded a request here. */
 export interface ForwardOrigin {
@@ -65,11 +65,11 @@
 	private lastPieceMs: number | undefined;
 	private isOver = false;
 	private abandonHandler: (() => void) | undefined;
-	private events: EventCutter | undefined;
+	private events: EventStreamSplitter | undefined;
 
 	constructor(
 		readonly call: AcceptedCall,
-		readonly life: RequestLife,
+		readonly life: RequestLifecycle,
 		private readonly sink: IAnswerSink,
 		private readonly journal: IRequestJournal,
 		private readonly timers: ITimerService,
@@ -120,7 +120,7 @@
 			return;
 		}
 		if (isEventStream(this.call, head)) {
-			this.events = new EventCutter();
+			this.events = new EventStreamSplitter();
 		}
 		this.noteBegun(head);
 	}
@@ -132,7 +132,7 @@
 
 	/** The answer broke off; what the caller has of it ends with a whole event. */
 	markInterrupted(): void {
-		this.events?.clearRest();
+		this.events?.clearRemainder();
 	}
 
 	/** Hands on the head of a kept answer; the chart already stands at `answering`. */
@@ -169,7 +169,7 @@
 			return;
 		}
 		this.life.send(RequestEvent.LastByte);
-		const rest = this.events?.takeRest();
+		const rest = this.events?.takeRemainder();
 		if (rest !== undefined && rest.byteLength > 0) {
 			this.sink.write(rest);
 		}
--- a/src/entry/node/requests/serviceRunner.ts
+++ b/src/entry/node/requests/serviceRunner.ts
@@ -11,8 +11,8 @@
 import { JournalStep } from '../../../core/explain/common/requestJournal';
 import type { RequestId, TargetId } from '../../../core/ids/common/ids';
 import type { AnswerHead } from '../../common/callers/answerSink';
-import type { AnswerReading, ITargetDialect } from '../../common/dialect/targetDialect';
-import { RequestEvent } from '../../common/requests/requestLife';
+import type { AnswerMetadata, ITargetDialect } from '../../common/dialect/targetDialect';
+import { RequestEvent } from '../../common/requests/requestLifecycle';
 import type {
 	IServiceScheduler,
 	SchedulableRequest,
@@ -122,7 +122,7 @@
 		this.scheduler.noteFirstByte(attempt.run.call.id, this.timers.getNow());
 	}
 
-	noteAnswerHead(attempt: AttemptRun, head: AnswerHead, reading: AnswerReading): void {
+	noteAnswerHead(attempt: AttemptRun, head: AnswerHead, reading: AnswerMetadata): void {
 		this.targets.noteAnswerHead(attempt.target, head, reading);
 		if (reading.load !== undefined) {
 			this.scheduler.noteLoad(attempt.target, reading.load, this.timers.getNow());
--- a/src/entry/node/requests/test/flowFixtures.ts
+++ b/src/entry/node/requests/test/flowFixtures.ts
@@ -17,11 +17,11 @@
 import { checkManifest, RepeatRule } from '../../../../core/manifest/common/manifest';
 import { RequestClass } from '../../../../core/requests/common/requestClass';
 import type { AnswerHead, IAnswerSink } from '../../../common/callers/answerSink';
-import { OwnTargetDialect } from '../../../common/dialect/ownTargetDialect';
+import { NativeTargetDialect } from '../../../common/dialect/nativeTargetDialect';
 import { planCall } from '../../../common/placement/callPlan';
 import { ManifestIndex } from '../../../common/placement/manifestIndex';
 import { Quarantine } from '../../../common/quarantine/quarantine';
-import { RequestEvent, RequestLife } from '../../../common/requests/requestLife';
+import { RequestEvent, RequestLifecycle } from '../../../common/requests/requestLifecycle';
 import { ServiceScheduler } from '../../../common/scheduling/scheduler';
 import type { AttemptRequest, IAttempt, IAttemptObserver, ITargetClient } from '../../targets/targetClient';
 import { CrashWatch } from '../crashWatch';
@@ -171,7 +171,7 @@
 		noteAttemptEnd: () => undefined,
 	};
 	const scheduler = new ServiceScheduler(new SeededRandom(7));
-	const runner = new ServiceRunner(scheduler, directory, crashes, new OwnTargetDialect(), timers);
+	const runner = new ServiceRunner(scheduler, directory, crashes, new NativeTargetDialect(), timers);
 	const zone = 'kingston-a' as ZoneName;
 	runner.setTargets(ids.map(id => ({ id, zone, isSameZone: true, slots: 8, share: 1, isLeaving: false })));
 	const journal = new RingRequestJournal(100, () => new Date(0));
@@ -183,7 +183,7 @@
 		const sink = new RememberingSink();
 		const call = createCall(`request-${submitted}` as RequestId, plan, body, timers.getNow());
 		journal.open(call.id, { service: 'bookings', organisation: 'harbour-hotel', requestClass: 'normal' }, 0);
-		const run = new RequestRun(call, new RequestLife(), sink, journal, timers, observer);
+		const run = new RequestRun(call, new RequestLifecycle(), sink, journal, timers, observer);
 		run.life.send(RequestEvent.AcceptHead);
 		run.setAbandonHandler(() => {
 			runner.abandon(run);
@@ -218,7 +218,7 @@
 			deadlineMs: 30_000,
 			prefixKey: undefined,
 			ticket: undefined,
-			passedOn: [],
+			forwardedLines: [],
 		},
 		plan,
 		body: Buffer.from(body),
--- a/src/entry/node/requests/ticketRouter.ts
+++ b/src/entry/node/requests/ticketRouter.ts
@@ -10,10 +10,10 @@
 import type { InstanceId } from '../../../core/ids/common/ids';
 import { TicketResult } from '../../../core/telemetry/common/entryMetricLabels';
 import { ReceiveKind } from '../../common/atMostOnce/atMostOnceLedger';
-import type { KeptAnswer, RunEnd, TicketRun } from '../../common/atMostOnce/ticketRun';
-import { RunEndKind } from '../../common/atMostOnce/ticketRun';
+import type { CachedAnswer, RunResult, TicketRun } from '../../common/atMostOnce/ticketRun';
+import { RunResultKind } from '../../common/atMostOnce/ticketRun';
 import type { IAnswerSink } from '../../common/callers/answerSink';
-import { RequestEvent } from '../../common/requests/requestLife';
+import { RequestEvent } from '../../common/requests/requestLifecycle';
 import { TicketRouteKind } from '../../common/tickets/ticketRoute';
 import type { ForwardEnd, ForwardWay } from '../peers/forwardRun';
 import { ForwardEndKind } from '../peers/forwardRun';
@@ -156,8 +156,8 @@
 	return ticketKinds.has(kind) ? TicketResult.Rejected : TicketResult.Replayed;
 }
 
-function describeEnd(end: RunEnd): TicketResult {
-	const isUnrun = end.kind === RunEndKind.Failed && getOutcomeOf(end.error) === Outcome.NotRun;
+function describeEnd(end: RunResult): TicketResult {
+	const isUnrun = end.kind === RunResultKind.Failed && getOutcomeOf(end.error) === Outcome.NotRun;
 	return isUnrun ? TicketResult.Refused : TicketResult.Spent;
 }
 
@@ -166,11 +166,11 @@
 	return { ...error, kind: isUnreachable ? ErrorKind.TicketIssuerGone : error.kind, isOutcomeUnknown: true };
 }
 
-function endJoined(run: RequestRun, end: RunEnd): void {
+function endJoined(run: RequestRun, end: RunResult): void {
 	if (run.hasEnded()) {
 		return;
 	}
-	if (end.kind === RunEndKind.Failed) {
+	if (end.kind === RunResultKind.Failed) {
 		if (getOutcomeOf(end.error) === Outcome.NotRun) {
 			run.life.send(RequestEvent.RunRefused);
 		}
@@ -186,7 +186,7 @@
 }
 
 /** Delivers a kept answer; the request's chart stands at `answering`. */
-function sendKept(run: RequestRun, answer: KeptAnswer): void {
+function sendKept(run: RequestRun, answer: CachedAnswer): void {
 	run.beginKept({
 		status: answer.status,
 		lines: answer.headers.map(([name, value]) => ({ name, value })),
--- a/src/entry/node/targets/targetDirectory.ts
+++ b/src/entry/node/targets/targetDirectory.ts
@@ -7,7 +7,7 @@
 import type { RegionName, ServiceName, TargetId, ZoneName } from '../../../core/ids/common/ids';
 import type { ManifestService } from '../../../core/manifest/common/manifest';
 import type { AnswerHead } from '../../common/callers/answerSink';
-import type { AnswerReading } from '../../common/dialect/targetDialect';
+import type { AnswerMetadata } from '../../common/dialect/targetDialect';
 import type { AttemptEnd } from '../../common/scheduling/serviceScheduler';
 import type { SchedulableTarget } from '../../common/scheduling/serviceScheduler';
 import type { IndexedManifest } from '../manifest/manifestKeeper';
@@ -20,7 +20,7 @@
 	/** The IP number and port of a target. */
 	findAddress(target: TargetId): string | undefined;
 	/** An answer's head: it may say that the target is leaving. */
-	noteAnswerHead(target: TargetId, head: AnswerHead, reading: AnswerReading): void;
+	noteAnswerHead(target: TargetId, head: AnswerHead, reading: AnswerMetadata): void;
 	/** An attempt ended; connections that fail are a sign about the target. */
 	noteAttemptEnd(target: TargetId, end: AttemptEnd, run: RequestRun): void;
 }
--- a/src/entry/node/targets/targetRegistry.ts
+++ b/src/entry/node/targets/targetRegistry.ts
@@ -18,7 +18,7 @@
 import { TargetLives } from '../../../core/targets/common/targetLives';
 import type { AnswerHead } from '../../common/callers/answerSink';
 import { findHeader } from '../../common/callers/callHead';
-import type { AnswerReading } from '../../common/dialect/targetDialect';
+import type { AnswerMetadata } from '../../common/dialect/targetDialect';
 import type { SchedulableTarget } from '../../common/scheduling/serviceScheduler';
 import { AttemptEnd } from '../../common/scheduling/serviceScheduler';
 import type { IndexedManifest } from '../manifest/manifestKeeper';
@@ -152,7 +152,7 @@
 		return url === undefined ? undefined : new URL(url).host;
 	}
 
-	noteAnswerHead(target: TargetId, head: AnswerHead, { isLeaving }: Pick<AnswerReading, 'isLeaving'>): void {
+	noteAnswerHead(target: TargetId, head: AnswerHead, { isLeaving }: Pick<AnswerMetadata, 'isLeaving'>): void {
 		const life = this.lives.findLife(target);
 		if (isLeaving) {
 			life?.noteOwnWord(this.timers.getNow());
--- a/src/entry/node/test/callHandlerFixtures.ts
+++ b/src/entry/node/test/callHandlerFixtures.ts
@@ -20,7 +20,7 @@
 import { EntryMetrics } from '../../../core/telemetry/node/entryMetrics';
 import { AtMostOnceLedger } from '../../common/atMostOnce/atMostOnceLedger';
 import type { CallHead } from '../../common/callers/callHead';
-import { OwnCallerDialect } from '../../common/dialect/ownCallerDialect';
+import { NativeCallerDialect } from '../../common/dialect/nativeCallerDialect';
 import type { LookupCandidate } from '../fleet/entryFleet';
 import { ManifestIndex } from '../../common/placement/manifestIndex';
 import { StayHomePolicy } from '../../common/sendAway/sendAwayPolicy';
@@ -74,7 +74,7 @@
 		{ own, region },
 		signer,
 		new TicketIssuer(own, signer, 120_000),
-		new AtMostOnceLedger(own, { mostAnswerBytes: 1_000, mostTickets: 10 }),
+		new AtMostOnceLedger(own, { maxAnswerBytes: 1_000, maxTickets: 10 }),
 		{ findEntry: instance => (instance === neighbour.own.instance ? neighbour : undefined) },
 	);
 	const router = new RequestRouter(createSurroundings(flow, runs, metrics), tickets, timers);
@@ -93,7 +93,7 @@
 	});
 	const handler = new CallHandler(
 		{ id: own.instance, region, zone, boot: own.boot },
-		new OwnCallerDialect(),
+		new NativeCallerDialect(),
 		{ getCurrent: () => ({ accepted, index: new ManifestIndex(manifest) }) },
 		{ listCandidates: () => [createCandidate(neighbour.own.instance)], receiveViews: () => [] },
 		{
@@ -160,7 +160,7 @@
 		deadlineMs: 30_000,
 		prefixKey: undefined,
 		ticket,
-		passedOn: [],
+		forwardedLines: [],
 	};
 }
 
--- a/src/entry/node/tickets/createTicketService.ts
+++ b/src/entry/node/tickets/createTicketService.ts
@@ -33,7 +33,7 @@
 		{ own, region: instance.region },
 		signer,
 		new TicketIssuer(own, signer, tickets.lifetime_ms),
-		new AtMostOnceLedger(own, { mostAnswerBytes: mostKeptAnswerBytes, mostTickets: mostSpentTickets }),
+		new AtMostOnceLedger(own, { maxAnswerBytes: mostKeptAnswerBytes, maxTickets: mostSpentTickets }),
 		directory,
 	);
 }
--- a/src/entry/node/tickets/ticketService.ts
+++ b/src/entry/node/tickets/ticketService.ts
@@ -12,12 +12,12 @@
 import { TicketResult } from '../../../core/telemetry/common/entryMetricLabels';
 import type { AtMostOnceLedger, ReceiveDecision } from '../../common/atMostOnce/atMostOnceLedger';
 import { ReceiveKind } from '../../common/atMostOnce/atMostOnceLedger';
-import { describeCall } from '../../common/atMostOnce/callFingerprint';
+import { encodeCallIdentity } from '../../common/atMostOnce/callFingerprint';
 import type { ITicketSigner } from '../../common/tickets/ticket';
 import { parseTicket } from '../../common/tickets/ticket';
 import type { TicketIssuer } from '../../common/tickets/ticketIssuer';
-import type { IEntryDirectory, KnownEntry, TicketRoute } from '../../common/tickets/ticketRoute';
-import { isSameBoot, refuseAsOther, decideTicketRoute } from '../../common/tickets/ticketRoute';
+import type { IEntryDirectory, EntryIdentity, TicketRoute } from '../../common/tickets/ticketRoute';
+import { isSameBoot, withUnknownOutcome, decideTicketRoute } from '../../common/tickets/ticketRoute';
 import type { AcceptedCall } from '../requests/requestRun';
 
 /** What a send that carried a ticket is told when it was refused unread, and what became of the ticket. */
@@ -29,7 +29,7 @@
 /** The ticket work of one start of one entry. */
 export class TicketService {
 	constructor(
-		private readonly own: KnownEntry,
+		private readonly own: EntryIdentity,
 		private readonly signer: ITicketSigner,
 		private readonly issuer: TicketIssuer,
 		private readonly ledger: AtMostOnceLedger,
@@ -77,9 +77,9 @@
 			return { error, result: TicketResult.Rejected };
 		}
 		if (!isSameBoot(ticket.value.issuer, this.own.own)) {
-			return { error: refuseAsOther(error), result: TicketResult.Rejected };
+			return { error: withUnknownOutcome(error), result: TicketResult.Rejected };
 		}
-		const told = this.ledger.refuseUnread(ticket.value, error, nowMs);
+		const told = this.ledger.refuseUnreadCall(ticket.value, error, nowMs);
 		const isUnrun = getOutcomeOf(told) === Outcome.NotRun;
 		return { error: told, result: isUnrun ? TicketResult.Refused : TicketResult.Rejected };
 	}
@@ -88,7 +88,7 @@
 function createCallFingerprint(call: AcceptedCall): Fingerprint {
 	const { service, organisation, method, path } = call.head;
 	return createHash('sha256')
-		.update(describeCall({ service, organisation, method, path }))
+		.update(encodeCallIdentity({ service, organisation, method, path }))
 		.update(call.body)
 		.digest('hex') as Fingerprint;
 }
