--- a/src/entry/node/callHandler.ts
+++ b/src/entry/node/callHandler.ts
@@ -154,7 +154,7 @@
 	}
 
 	accept(call: AcceptedCall, sink: IAnswerSink): void {
-		this.router.take(call, sink, this.ownView.isRefusing() ? this.createLeavingFault() : undefined);
+		this.router.dispatch(call, sink, this.ownView.isRefusing() ? this.createLeavingFault() : undefined);
 	}
 
 	findEntries(question: LookupQuestion): Result<LookupAnswer, RequestError> {
--- a/src/entry/node/entry.ts
+++ b/src/entry/node/entry.ts
@@ -40,9 +40,9 @@
 import { PeerFollowing } from './peerFollowing';
 import { PeerServer } from './peers/peerServer';
 import { ActiveRuns } from './requests/activeRuns';
-import { CrashWatch } from './requests/crashWatch';
+import { CrashDetector } from './requests/crashDetector';
 import { RequestRouter } from './requests/requestRouter';
-import { RouterSurroundings } from './requests/routerSurroundings';
+import { RouterContext } from './requests/routerContext';
 import type { IServicePolicies } from './requests/serviceRunners';
 import { ServiceRunners } from './requests/serviceRunners';
 import { SleepDetector } from './sleepDetector';
@@ -125,9 +125,9 @@
 				this.manifests,
 				targets,
 				() => this.fleet.describeSharing(region),
-				new CrashWatch(
+				new CrashDetector(
 					this.quarantine,
-					target => targets.probeDeath(target),
+					target => targets.probeForCrash(target),
 					() => this.fleet.exchangeWithRegion(region),
 					this.timers,
 				),
@@ -206,7 +206,7 @@
 		await waitUntil(takingMs);
 		this.ownView.setRefusing();
 		await waitUntil(takingMs + refusesMs);
-		await Promise.race([this.runs.waitForNone(), waitUntil(endsMs)]);
+		await Promise.race([this.runs.waitUntilIdle(), waitUntil(endsMs)]);
 		const left = this.runs.count();
 		const closed = [this.callers, this.peerServer, ...this.ports].map(port => port.close());
 		await Promise.race([Promise.all(closed), waitUntil(endsMs)]);
@@ -360,7 +360,7 @@
 	}
 
 	private createCallHandler(): CallHandler {
-		const surroundings = new RouterSurroundings(
+		const surroundings = new RouterContext(
 			this.settings.instance,
 			this.manifests,
 			this.runners,
--- a/src/entry/node/entryTelemetry.ts
+++ b/src/entry/node/entryTelemetry.ts
@@ -82,7 +82,7 @@
 /** Targets of a service by their state. */
 function countStates(targets: ITargetRegistry, service: ServiceName): Map<string, number> {
 	const counts = new Map<string, number>();
-	for (const { state } of targets.listDescribed(service)) {
+	for (const { state } of targets.listSummaries(service)) {
 		counts.set(state, (counts.get(state) ?? 0) + 1);
 	}
 	return counts;
--- a/src/entry/node/fleet/ownView.ts
+++ b/src/entry/node/fleet/ownView.ts
@@ -98,7 +98,7 @@
 			rooms: runners
 				.listServices()
 				.map(service => ({ service, room: runners.getRunner(service).measureRoom() })),
-			leavingTargets: [...targets.listLeavingByOwnWord()],
+			leavingTargets: [...targets.listSelfReportedLeaving()],
 			crashSightings: [...quarantine.listSightings(timers.getNow())],
 		};
 	}
--- a/src/entry/node/operatorsSource.ts
+++ b/src/entry/node/operatorsSource.ts
@@ -124,7 +124,7 @@
 	private listTargets(): TargetStatus[] {
 		const { targets, runners } = this.parts;
 		return runners.listServices().flatMap(service =>
-			targets.listDescribed(service).map(({ id, zone, state, lastSign }) => ({
+			targets.listSummaries(service).map(({ id, zone, state, lastSign }) => ({
 				id,
 				service,
 				zone,
--- a/src/entry/node/peerFollowing.ts
+++ b/src/entry/node/peerFollowing.ts
@@ -52,7 +52,7 @@
 	}
 
 	private noteView(view: EntryView): void {
-		this.parts.targets.notePeerWords(view.leavingTargets);
+		this.parts.targets.noteLeavingReportedByPeer(view.leavingTargets);
 		this.noteSightings(view);
 		const peer = this.parts.fleet.findPeer(view.instance);
 		if (peer !== undefined) {
--- a/src/entry/node/peers/forwardRun.ts
+++ b/src/entry/node/peers/forwardRun.ts
@@ -87,20 +87,20 @@
 
 	/** Forwards and hands the answer on; never rejects. */
 	async forward(): Promise<ForwardEnd> {
-		this.run.life.send(RequestEvent.SendAway);
+		this.run.lifecycle.send(RequestEvent.SendAway);
 		this.run.note(JournalStep.SentAway, `to ${this.way.to}: ${this.way.reason}`);
 		const state = await this.openConnection();
 		if (this.run.hasEnded()) {
 			return this.createEnd(ForwardEndKind.Abandoned, undefined);
 		}
 		if (state === 'error') {
-			this.run.life.send(RequestEvent.NotConnected);
+			this.run.lifecycle.send(RequestEvent.NotConnected);
 			return this.createEnd(
 				ForwardEndKind.NotConnected,
 				this.createFault(ErrorKind.PeerUnreachable, 'no connection'),
 			);
 		}
-		this.run.life.send(RequestEvent.HandOver);
+		this.run.lifecycle.send(RequestEvent.HandOver);
 		return this.exchange();
 	}
 
@@ -202,7 +202,7 @@
 			...(fault.retryAfterMs > 0 ? { retryAfterMs: fault.retryAfterMs } : {}),
 		});
 		if (getOutcomeOf(error) === Outcome.NotRun && !this.run.hasBegun()) {
-			this.run.life.send(RequestEvent.PeerRefused);
+			this.run.lifecycle.send(RequestEvent.PeerRefused);
 			return this.createEnd(ForwardEndKind.Refused, error);
 		}
 		return this.createEnd(ForwardEndKind.Failed, error);
--- a/src/entry/node/requests/activeRuns.ts
+++ b/src/entry/node/requests/activeRuns.ts
@@ -1,6 +1,6 @@
 /**
- * The requests under way at this entry. A graceful stop waits for the last of them, and the bytes of their
- * bodies are released as each ends.
+ * The requests in progress at this entry. A graceful shutdown waits until none is left. When a request ends,
+ * its metrics are recorded and the memory reserved for its body is released.
  */
 
 import type { ITimerService } from '../../../base/common/timerService';
@@ -20,30 +20,30 @@
 import type { AcceptedCall, IRunObserver, RequestEnd } from './requestRun';
 import { RequestRun } from './requestRun';
 
-/** A request that was refused by its head or its body. */
+/** A request that was refused because of its head or its body. */
 export interface RefusedCall {
 	readonly id: RequestId;
-	/** Undefined where the head could not be read. */
+	/** Undefined if the head could not be read. */
 	readonly head: CallHead | undefined;
-	/** Method and path as the caller wrote them, as far as they could be read. */
+	/** Method and path as sent by the caller, as far as they could be read. */
 	readonly line: string;
 	/** Monotonic milliseconds. */
 	readonly arrivedMs: number;
 }
 
-/** Stands in a record for what a head did not tell. */
-const untold = 'unknown';
+/** Used in the journal for fields that could not be read from the head. */
+const unknownLabel = 'unknown';
 
-/** Opens runs and hears of their ends. */
+/** Creates request runs, tracks them until they end, and records their metrics. */
 export class ActiveRuns implements IRunObserver {
 	private readonly runs = new Set<RequestRun>();
 	private readonly ids = new Set<RequestId>();
-	private readonly waiters: (() => void)[] = [];
+	private readonly idleWaiters: (() => void)[] = [];
 
 	constructor(
 		private readonly journal: IRequestJournal,
 		private readonly metrics: EntryMetrics,
-		private readonly held: HeldBytes,
+		private readonly heldBytes: HeldBytes,
 		private readonly timers: ITimerService,
 	) {}
 
@@ -58,17 +58,17 @@
 		return run;
 	}
 
-	/** Records a request that never became a run, so that its caller's question about it has an answer. */
+	/** Records a request that was refused before its run was created, so that it can be looked up later. */
 	recordRefused(call: RefusedCall, error: RequestError): void {
 		const { id, head, line, arrivedMs } = call;
 		const outcome = getOutcomeOf(error);
 		const nowMs = this.timers.getNow();
-		const about = {
-			service: head?.service ?? untold,
-			organisation: head?.organisation ?? untold,
-			requestClass: head?.requestClass ?? untold,
+		const labels = {
+			service: head?.service ?? unknownLabel,
+			organisation: head?.organisation ?? unknownLabel,
+			requestClass: head?.requestClass ?? unknownLabel,
 		};
-		this.journal.open(id, about, arrivedMs);
+		this.journal.open(id, labels, arrivedMs);
 		this.journal.note(id, JournalStep.Received, line, arrivedMs);
 		this.journal.note(id, JournalStep.Refused, error.detail, nowMs);
 		this.journal.note(id, JournalStep.Ended, `${outcome}; ${error.kind}: ${error.detail}`, nowMs);
@@ -76,7 +76,7 @@
 		this.metrics.noteRequest(head?.service ?? otherService, requestClass, outcome, error.kind);
 	}
 
-	/** Whether a request of that id is under way. */
+	/** Whether a request with this id is in progress. */
 	has(id: RequestId): boolean {
 		return this.ids.has(id);
 	}
@@ -85,13 +85,13 @@
 		return this.runs.size;
 	}
 
-	/** Ends when no request is under way. */
-	async waitForNone(): Promise<void> {
+	/** Resolves when no request is in progress. */
+	async waitUntilIdle(): Promise<void> {
 		if (this.runs.size === 0) {
 			return;
 		}
 		await new Promise<void>(resolve => {
-			this.waiters.push(resolve);
+			this.idleWaiters.push(resolve);
 		});
 	}
 
@@ -103,7 +103,7 @@
 		this.metrics.noteAttempt(call.head.service, end);
 	}
 
-	noteGap({ call }: RequestRun, gapMs: number): void {
+	noteAnswerGap({ call }: RequestRun, gapMs: number): void {
 		this.metrics.noteGap(call.head.service, call.head.requestClass, gapMs);
 	}
 
@@ -111,14 +111,14 @@
 		const { service, requestClass } = run.call.head;
 		this.runs.delete(run);
 		this.ids.delete(run.call.id);
-		this.held.release(run.call.body.byteLength);
+		this.heldBytes.release(run.call.body.byteLength);
 		this.metrics.noteRequest(service, requestClass, end.outcome, end.errorKind);
 		if (end.firstByteMs !== undefined) {
 			this.metrics.noteFirstByte(service, requestClass, end.firstByteMs);
 			this.metrics.noteAnswer(service, requestClass, end.tookMs);
 		}
 		if (this.runs.size === 0) {
-			for (const resolve of this.waiters.splice(0)) {
+			for (const resolve of this.idleWaiters.splice(0)) {
 				resolve();
 			}
 		}
--- a/src/entry/node/requests/attemptEnds.ts
+++ b/src/entry/node/requests/attemptEnds.ts
@@ -1,5 +1,5 @@
 /**
- * What the end of an attempt means on its request's chart.
+ * Maps the end of an attempt to events of its request's state machine.
  */
 
 import type { RequestError } from '../../../core/errors/common/errorKinds';
@@ -8,7 +8,7 @@
 import { AttemptEnd } from '../../common/scheduling/serviceScheduler';
 import type { RequestRun } from './requestRun';
 
-const eventsOfRetry: Readonly<Partial<Record<AttemptEnd, RequestEvent>>> = {
+const retryEvents: Readonly<Partial<Record<AttemptEnd, RequestEvent>>> = {
 	[AttemptEnd.TargetRefused]: RequestEvent.TargetRefused,
 	[AttemptEnd.NotConnected]: RequestEvent.NotConnected,
 	[AttemptEnd.Failed]: RequestEvent.Retry,
@@ -16,20 +16,20 @@
 	[AttemptEnd.Silent]: RequestEvent.Retry,
 };
 
-/** The scheduler took the request back for another attempt. */
+/** Sends the event for a request that the scheduler will retry after this end of an attempt. */
 export function sendRetryEvent(run: RequestRun, end: AttemptEnd): void {
-	const event = isAnswering(run) ? RequestEvent.Interrupt : eventsOfRetry[end];
+	const event = isAnswering(run) ? RequestEvent.Interrupt : retryEvents[end];
 	if (event !== undefined) {
-		run.life.send(event);
+		run.lifecycle.send(event);
 	}
 }
 
-/** Only the attempt that gave the caller its last byte interrupts the answer; one that never began does not. */
+/** Whether the current attempt has started to answer; only the failure of such an attempt interrupts an answer. */
 export function isAnswering(run: RequestRun): boolean {
-	return run.life.getState() === RequestState.Answering;
+	return run.lifecycle.getState() === RequestState.Answering;
 }
 
-/** Ends a request whose last attempt gave no whole answer; nothing is done where it has ended already. */
+/** Ends a request whose last attempt gave no complete answer. Does nothing if the request has already ended. */
 export function endUnanswered(run: RequestRun, error: RequestError | undefined): void {
 	if (error === undefined || run.hasEnded()) {
 		return;
@@ -38,16 +38,16 @@
 		run.abandon();
 		return;
 	}
-	noteUnrun(run, error);
+	markNotRun(run, error);
 	run.fail(error);
 }
 
-/** A refusal that was not taken back still clears the attempt: the caller may be told `not-run`. */
-function noteUnrun(run: RequestRun, error: RequestError): void {
+/** Records that the last attempt was not run, even without a retry: the caller may then receive `not-run`. */
+function markNotRun(run: RequestRun, error: RequestError): void {
 	if (error.kind === ErrorKind.TargetRefused) {
-		run.life.send(RequestEvent.TargetRefused);
+		run.lifecycle.send(RequestEvent.TargetRefused);
 	}
 	if (error.kind === ErrorKind.NoTarget) {
-		run.life.send(RequestEvent.NotConnected);
+		run.lifecycle.send(RequestEvent.NotConnected);
 	}
 }
--- a/src/entry/node/requests/attemptRun.ts
+++ b/src/entry/node/requests/attemptRun.ts
@@ -1,6 +1,6 @@
 /**
- * One attempt of a request at a target: watches its silence and its deadline, checks that the answer is
- * this attempt's own, and streams it on.
+ * One attempt of a request at a target: applies the idle timeout and the deadline, checks that the answer
+ * belongs to this attempt, and streams it to the caller.
  */
 
 import type { IDisposable } from '../../../base/common/lifecycle';
@@ -18,30 +18,30 @@
 import type { IAttempt, IAttemptObserver, ITargetClient } from '../targets/targetClient';
 import type { RequestRun } from './requestRun';
 
-/** What the scheduler wants of an attempt beside its target. */
-export type AttemptTreatment = Pick<SentAttempt, 'isDeferred' | 'fetchAddress'>;
+/** What the scheduler decides for an attempt in addition to its target. */
+export type AttemptOptions = Pick<SentAttempt, 'isDeferred' | 'fetchAddress'>;
 
-/** Hears what an attempt learns of its target, and how it ended. */
+/** Receives what an attempt observes about its target, and how it ended. */
 export interface IAttemptOwner {
 	noteFirstByte(attempt: AttemptRun): void;
-	/** The head of an answer or of a refusal: it may carry the target's load or its wish to leave. */
+	/** Receives the head of an answer or a refusal, which may report the target's load or that it is leaving. */
 	noteAnswerHead(attempt: AttemptRun, head: AnswerHead, reading: AnswerReading): void;
-	/** Whether the request would be made again if the target's answer were a failure. */
-	isTakenBack(attempt: AttemptRun): boolean;
-	/** Called once. `error` says what the caller is told if no other attempt is made. */
+	/** Whether the request would be retried if the target answered with a server error. */
+	isRetryAllowed(attempt: AttemptRun): boolean;
+	/** Called once. `error` is the error for the caller if there is no further attempt. */
 	noteEnd(attempt: AttemptRun, end: AttemptEnd, error: RequestError | undefined): void;
 }
 
-const leastFailureStatus = 500;
+const minServerErrorStatus = 500;
 const statusOk = 200;
 
-/** An attempt under way. */
+/** An attempt in progress. */
 export class AttemptRun implements IAttemptObserver {
 	readonly id: AttemptId;
 	private attempt: IAttempt | undefined;
 	private silenceTimer: IDisposable | undefined;
 	private deadlineTimer: IDisposable | undefined;
-	private heardMs = 0;
+	private lastActivityMs = 0;
 	private pace = new AnswerPace(0);
 	private isHandedOver = false;
 	private isPaused = false;
@@ -51,7 +51,7 @@
 		readonly run: RequestRun,
 		readonly target: TargetId,
 		attemptNumber: number,
-		private readonly treatment: AttemptTreatment,
+		private readonly options: AttemptOptions,
 		private readonly client: ITargetClient,
 		private readonly dialect: ITargetDialect,
 		private readonly timers: ITimerService,
@@ -61,39 +61,44 @@
 	}
 
 	start(): void {
-		this.run.life.send(RequestEvent.Start);
+		this.run.lifecycle.send(RequestEvent.Start);
 		this.run.noteAttemptStart();
-		this.heardMs = this.timers.getNow();
-		this.pace = new AnswerPace(this.heardMs);
+		this.lastActivityMs = this.timers.getNow();
+		this.pace = new AnswerPace(this.lastActivityMs);
 		this.deadlineTimer = this.timers.schedule(this.run.getRemainingMs(), () => {
 			this.endAtDeadline();
 		});
 		const { head, body } = this.run.call;
 		this.attempt = this.client.send(
-			{ method: head.method, path: head.path, lines: this.dialect.createLines(this.describe()), body },
+			{
+				method: head.method,
+				path: head.path,
+				lines: this.dialect.createLines(this.createSentAttempt()),
+				body,
+			},
 			this,
 		);
 	}
 
-	/** False once its end was told to its owner, who may still be finding out why it ended. */
+	/** False once the attempt has ended, even if its owner is still checking whether the target crashed. */
 	isUnderWay(): boolean {
 		return !this.isOver;
 	}
 
-	/** How the answer came in so far, for the log. */
+	/** Describes the timing of the answer so far, for the log. */
 	describePace(): string {
 		return this.pace.describe(this.timers.getNow());
 	}
 
-	/** Ends the attempt from outside; the target's connection is closed. */
+	/** Cancels the attempt and closes its connection to the target. */
 	cancel(error: RequestError): void {
-		this.endEarly(AttemptEnd.Cancelled, error);
+		this.endClosingConnection(AttemptEnd.Cancelled, error);
 	}
 
 	noteHandedOver(): void {
 		this.isHandedOver = true;
-		this.heardMs = this.timers.getNow();
-		this.run.life.send(RequestEvent.HandOver);
+		this.lastActivityMs = this.timers.getNow();
+		this.run.lifecycle.send(RequestEvent.HandOver);
 		this.run.note(JournalStep.HandedOver, `${this.id} to ${this.target}`);
 		this.watchSilence(this.getLimits().firstByteMs);
 	}
@@ -102,24 +107,30 @@
 		if (this.isOver) {
 			return;
 		}
-		this.heardMs = this.timers.getNow();
-		const reading = this.dialect.readAnswer(head, this.describe());
+		this.lastActivityMs = this.timers.getNow();
+		const reading = this.dialect.readAnswer(head, this.createSentAttempt());
 		if (reading.fault !== undefined) {
-			this.endEarly(AttemptEnd.Failed, createRequestError(ErrorKind.AnswerCrossed, reading.fault));
+			this.endClosingConnection(
+				AttemptEnd.Failed,
+				createRequestError(ErrorKind.AnswerCrossed, reading.fault),
+			);
 			return;
 		}
 		this.owner.noteAnswerHead(this, head, reading);
 		const detail = `${this.target} answered ${head.status}`;
 		if (reading.isNotRun) {
-			this.endReleased(AttemptEnd.TargetRefused, createRequestError(ErrorKind.TargetRefused, detail));
+			this.endKeepingConnection(
+				AttemptEnd.TargetRefused,
+				createRequestError(ErrorKind.TargetRefused, detail),
+			);
 			return;
 		}
 		if (this.run.hasBegun() && head.status !== statusOk) {
-			this.endReleased(AttemptEnd.Failed, createRequestError(ErrorKind.TargetFailed, detail));
+			this.endKeepingConnection(AttemptEnd.Failed, createRequestError(ErrorKind.TargetFailed, detail));
 			return;
 		}
-		if (head.status >= leastFailureStatus && this.owner.isTakenBack(this)) {
-			this.endReleased(AttemptEnd.Erred, createRequestError(ErrorKind.TargetFailed, detail));
+		if (head.status >= minServerErrorStatus && this.owner.isRetryAllowed(this)) {
+			this.endKeepingConnection(AttemptEnd.Erred, createRequestError(ErrorKind.TargetFailed, detail));
 			return;
 		}
 		this.beginAnswer(head);
@@ -129,16 +140,16 @@
 		if (this.isOver) {
 			return true;
 		}
-		this.heardMs = this.timers.getNow();
-		this.pace.notePiece(this.heardMs);
+		this.lastActivityMs = this.timers.getNow();
+		this.pace.notePiece(this.lastActivityMs);
 		const isReady = this.run.write(chunk);
 		if (!isReady) {
-			this.pauseForReader();
+			this.pauseForCaller();
 		}
 		return isReady;
 	}
 
-	noteEnded(): void {
+	noteCompleted(): void {
 		if (this.isOver) {
 			return;
 		}
@@ -147,7 +158,7 @@
 		this.finishAs(AttemptEnd.Answered, undefined);
 	}
 
-	noteBroken(error: Error): void {
+	noteFailed(error: Error): void {
 		if (this.isOver) {
 			return;
 		}
@@ -173,24 +184,24 @@
 		}
 	}
 
-	/** While the caller is the slow one, the target's silence is no sign of anything. */
-	private pauseForReader(): void {
+	/** Pauses reading until the caller catches up. Meanwhile the target is not expected to send anything. */
+	private pauseForCaller(): void {
 		this.isPaused = true;
 		this.run.waitForDrain(() => {
 			this.isPaused = false;
-			this.heardMs = this.timers.getNow();
+			this.lastActivityMs = this.timers.getNow();
 			this.attempt?.resume();
 		});
 	}
 
 	/**
-	 * One timer a silence, moved on only when it fires: a stream of many chunks would otherwise make and
-	 * cancel a timer for each.
+	 * Ends the attempt when the target sends nothing for `limitMs`. The timer is rescheduled only when it fires,
+	 * because a stream of many chunks would otherwise create and cancel a timer for each chunk.
 	 */
 	private watchSilence(limitMs: number): void {
-		const quietMs = this.isPaused ? 0 : this.timers.getNow() - this.heardMs;
-		this.silenceTimer = this.timers.schedule(limitMs - quietMs, () => {
-			const isSilent = !this.isPaused && this.timers.getNow() - this.heardMs >= limitMs;
+		const silentMs = this.isPaused ? 0 : this.timers.getNow() - this.lastActivityMs;
+		this.silenceTimer = this.timers.schedule(limitMs - silentMs, () => {
+			const isSilent = !this.isPaused && this.timers.getNow() - this.lastActivityMs >= limitMs;
 			if (isSilent) {
 				this.endSilent(limitMs);
 				return;
@@ -202,23 +213,24 @@
 	private endSilent(limitMs: number): void {
 		this.client.renewConnections();
 		const detail = `${this.target} was silent for ${limitMs} ms`;
-		this.endEarly(AttemptEnd.Silent, createRequestError(ErrorKind.TargetSilent, detail));
+		this.endClosingConnection(AttemptEnd.Silent, createRequestError(ErrorKind.TargetSilent, detail));
 	}
 
 	private endAtDeadline(): void {
 		const detail = `${this.target}: ${this.describePace()}`;
 		const kind = this.isHandedOver ? ErrorKind.DeadlineExceeded : ErrorKind.DeadlineUnreachable;
-		this.endEarly(AttemptEnd.Cancelled, createRequestError(kind, detail));
+		this.endClosingConnection(AttemptEnd.Cancelled, createRequestError(kind, detail));
 	}
 
-	/** The target has said all that matters; its connection is well and can be used again. */
-	private endReleased(end: AttemptEnd, error: RequestError): void {
+	/** Ends the attempt after the answer's head. The connection is intact and can be reused. */
+	private endKeepingConnection(end: AttemptEnd, error: RequestError): void {
 		this.close();
 		this.attempt?.release();
 		this.finishAs(end, error);
 	}
 
-	private endEarly(end: AttemptEnd, error: RequestError): void {
+	/** Ends the attempt and closes its connection, so that no later request can read the rest of the answer. */
+	private endClosingConnection(end: AttemptEnd, error: RequestError): void {
 		if (this.isOver) {
 			return;
 		}
@@ -243,7 +255,7 @@
 		return this.run.call.plan.classes[this.run.call.head.requestClass];
 	}
 
-	private describe(): SentAttempt {
+	private createSentAttempt(): SentAttempt {
 		const { id, head } = this.run.call;
 		return {
 			requestId: head.routed?.callerRequestId ?? id,
@@ -252,7 +264,7 @@
 			head,
 			remainingMs: this.run.getRemainingMs(),
 			lastEventId: this.run.getLastEventId(),
-			...this.treatment,
+			...this.options,
 		};
 	}
 }
--- /dev/null
+++ b/src/entry/node/requests/crashDetector.ts
@@ -0,0 +1,111 @@
+/**
+ * Detects whether a broken connection means that the target crashed, and if so marks the requests that were in
+ * flight there as suspects. Bodies are hashed only after a crash or while there are suspects to compare with,
+ * so there is no cost otherwise.
+ */
+
+import { xxh3 } from '@node-rs/xxhash';
+import type { ITimerService } from '../../../base/common/timerService';
+import type { RequestError } from '../../../core/errors/common/errorKinds';
+import type { Fingerprint, TargetId } from '../../../core/ids/common/ids';
+import { describeCall } from '../../common/atMostOnce/callFingerprint';
+import type { Quarantine } from '../../common/quarantine/quarantine';
+import type { AcceptedCall } from './requestRun';
+
+/** Opens a new connection to the target to determine whether the target is down. */
+export type ProbeForCrash = (target: TargetId) => Promise<boolean>;
+
+/** Sends the recorded crashes to the other entries of the region; resolves when they have received them. */
+export type ShareCrashes = () => Promise<void>;
+
+const hexRadix = 16;
+
+/** Kept short because a caller is waiting. Entries that have not answered by then are not waited for. */
+const maxShareWaitMs = 500;
+
+/** Computes a hash that is equal for repeated sends of the same request. */
+function createCrashFingerprint(call: AcceptedCall): Fingerprint {
+	const { service, organisation, method, path } = call.head;
+	const hash = xxh3.Xxh3.withSeed();
+	hash.update(describeCall({ service, organisation, method, path }));
+	hash.update(call.body);
+	return hash.digest().toString(hexRadix) as Fingerprint;
+}
+
+/** Detects crashed targets for the runners of all services. */
+export class CrashDetector {
+	private readonly pendingChecks = new Map<TargetId, Promise<void>>();
+	/** Caches fingerprints, because a waiting call is checked each time a target is chosen. */
+	private readonly fingerprints = new WeakMap<AcceptedCall, Fingerprint>();
+
+	constructor(
+		private readonly quarantine: Quarantine,
+		private readonly probeForCrash: ProbeForCrash,
+		private readonly shareCrashes: ShareCrashes,
+		private readonly timers: ITimerService,
+	) {}
+
+	/** Returns the error for a call that was in flight at too many crashes, or undefined. */
+	findRefusal(call: AcceptedCall): RequestError | undefined {
+		if (this.quarantine.countFingerprints() === 0) {
+			return undefined;
+		}
+		return this.quarantine.findRefusal(this.getFingerprint(call), this.timers.getNow());
+	}
+
+	/** Whether a call was in flight at a crash, and must not run at the same target as another suspect. */
+	isSuspected(call: AcceptedCall): boolean {
+		return this.quarantine.countFingerprints() > 0 && this.quarantine.isSighted(this.getFingerprint(call));
+	}
+
+	/**
+	 * Checks whether the target crashed, after a connection broke while these calls were in flight. Resolves when
+	 * the result is recorded, because an earlier retry could crash the next target before the first crash is
+	 * recorded. A crash breaks all connections of a target, so concurrent checks of one target share one probe.
+	 */
+	async checkForCrash(target: TargetId, inFlight: readonly AcceptedCall[]): Promise<void> {
+		const pending = this.pendingChecks.get(target);
+		if (pending !== undefined) {
+			await pending;
+			return;
+		}
+		const check = this.noteIfCrashed(target, inFlight);
+		this.pendingChecks.set(target, check);
+		await check;
+		this.pendingChecks.delete(target);
+	}
+
+	private getFingerprint(call: AcceptedCall): Fingerprint {
+		const known = this.fingerprints.get(call);
+		if (known !== undefined) {
+			return known;
+		}
+		const fingerprint = createCrashFingerprint(call);
+		this.fingerprints.set(call, fingerprint);
+		return fingerprint;
+	}
+
+	private async noteIfCrashed(target: TargetId, inFlight: readonly AcceptedCall[]): Promise<void> {
+		const hasCrashed = await this.probeForCrash(target);
+		if (hasCrashed) {
+			const fingerprints = inFlight.map(call => this.getFingerprint(call));
+			this.quarantine.noteDeath(target, fingerprints, this.timers.getNow());
+			await this.waitForSharing();
+		}
+	}
+
+	/**
+	 * Waits until the other entries have received the crash, or the time limit has passed. The caller may resend
+	 * the request to another entry as soon as it is answered here. If that entry received the crash only with the
+	 * next periodic exchange of views, a second later, the request could crash one more target.
+	 */
+	private async waitForSharing(): Promise<void> {
+		await new Promise<void>(resolve => {
+			const limit = this.timers.schedule(maxShareWaitMs, resolve);
+			void this.shareCrashes().then(() => {
+				limit.dispose();
+				resolve();
+			});
+		});
+	}
+}
--- a/src/entry/node/requests/recordingSink.ts
+++ b/src/entry/node/requests/recordingSink.ts
@@ -1,7 +1,7 @@
 /**
- * The sink of an at-most-once run: passes the answer on to the caller that started the run and keeps a
- * copy for later sends of the same ticket. The run does not end when its caller goes away: a payment whose
- * connection broke is the very one that will be sent again, and the resend must find its answer.
+ * The answer sink of an at-most-once request: forwards the answer to the caller and keeps a copy for later
+ * requests with the same ticket. The request continues when its caller disconnects, because a caller whose
+ * connection broke during a payment will resend it, and the resend must receive the stored answer.
  */
 
 import type { RequestError } from '../../../core/errors/common/errorKinds';
@@ -10,22 +10,22 @@
 import { RunEndKind } from '../../common/atMostOnce/ticketRun';
 import type { AnswerHead, IAnswerSink } from '../../common/callers/answerSink';
 
-/** Larger answers are delivered but not kept; a resend is then told `unknown`. */
-const mostKeptBytes = 1_048_576;
+/** Larger answers are delivered but not kept; a resend then receives the outcome `unknown`. */
+const maxKeptBytes = 1_048_576;
 
-/** Records one run's answer on its way to the caller. */
+/** Records the answer of one request while forwarding it to the caller. */
 export class RecordingSink implements IAnswerSink {
 	private readonly chunks: Uint8Array[] = [];
 	private head: AnswerHead | undefined;
-	private bytes = 0;
+	private receivedBytes = 0;
 	private isCallerGone = false;
 	private resume: (() => void) | undefined;
 
 	constructor(
-		private readonly caller: IAnswerSink,
-		private readonly run: TicketRun,
+		private readonly callerSink: IAnswerSink,
+		private readonly ticketRun: TicketRun,
 	) {
-		caller.watchAbandoned(() => {
+		callerSink.watchAbandoned(() => {
 			this.isCallerGone = true;
 			this.resume?.();
 		});
@@ -34,16 +34,16 @@
 	begin(head: AnswerHead): void {
 		this.head = head;
 		if (!this.isCallerGone) {
-			this.caller.begin(head);
+			this.callerSink.begin(head);
 		}
 	}
 
 	write(chunk: Uint8Array): boolean {
-		this.bytes += chunk.byteLength;
-		if (this.bytes <= mostKeptBytes) {
+		this.receivedBytes += chunk.byteLength;
+		if (this.receivedBytes <= maxKeptBytes) {
 			this.chunks.push(chunk);
 		}
-		return this.isCallerGone || this.caller.write(chunk);
+		return this.isCallerGone || this.callerSink.write(chunk);
 	}
 
 	waitForDrain(resume: () => void): void {
@@ -54,38 +54,38 @@
 			}
 		};
 		this.resume = resumeOnce;
-		this.caller.waitForDrain(resumeOnce);
+		this.callerSink.waitForDrain(resumeOnce);
 	}
 
 	end(): void {
 		if (!this.isCallerGone) {
-			this.caller.end();
+			this.callerSink.end();
 		}
-		this.run.end({ kind: RunEndKind.Answered, answer: this.createKept() });
+		this.ticketRun.end({ kind: RunEndKind.Answered, answer: this.createKeptAnswer() });
 	}
 
 	cut(): void {
 		if (!this.isCallerGone) {
-			this.caller.cut();
+			this.callerSink.cut();
 		}
-		const error = createRequestError(ErrorKind.TargetFailed, 'the answer broke off');
-		this.run.end({ kind: RunEndKind.Failed, error });
+		const error = createRequestError(ErrorKind.TargetFailed, 'the answer ended before it was complete');
+		this.ticketRun.end({ kind: RunEndKind.Failed, error });
 	}
 
 	refuse(error: RequestError): void {
 		if (!this.isCallerGone) {
-			this.caller.refuse(error);
+			this.callerSink.refuse(error);
 		}
-		this.run.end({ kind: RunEndKind.Failed, error });
+		this.ticketRun.end({ kind: RunEndKind.Failed, error });
 	}
 
-	/** The run is not its caller's to abandon. */
+	/** Does nothing: the request continues after its caller disconnects. */
 	watchAbandoned(): void {
 		return;
 	}
 
-	private createKept(): { status: number; headers: [string, string][]; body: Uint8Array } | undefined {
-		if (this.head === undefined || this.bytes > mostKeptBytes) {
+	private createKeptAnswer(): { status: number; headers: [string, string][]; body: Uint8Array } | undefined {
+		if (this.head === undefined || this.receivedBytes > maxKeptBytes) {
 			return undefined;
 		}
 		return {
--- a/src/entry/node/requests/requestRouter.ts
+++ b/src/entry/node/requests/requestRouter.ts
@@ -1,7 +1,7 @@
 /**
- * Where an accepted request goes: to the targets of this entry's region, to another region, or, with a
- * ticket, to the entry that issued it. A request that another entry forwarded here is served or refused
- * here; nothing is forwarded twice.
+ * Routes each accepted request to the targets of this entry's region, to an entry of another region, or, if it
+ * has a ticket, to the entry that issued the ticket. A request that another entry forwarded here is served or
+ * refused here: no request is forwarded twice.
  */
 
 import type { ITimerService } from '../../../base/common/timerService';
@@ -24,63 +24,65 @@
 import type { ServiceRunner } from './serviceRunner';
 import { isAnswering } from './attemptEnds';
 import { createSchedulable } from './schedulableRequest';
-import type { ITicketCarrier } from './ticketRouter';
+import type { IRequestForwarder } from './ticketRouter';
 import { TicketRouter } from './ticketRouter';
 
-/** What the router needs of the entry around it. */
-export interface IRouterSurroundings {
-	/** The runner of a service that the manifest names. */
+/** The parts of the entry that the router depends on. */
+export interface IRouterContext {
+	/** Returns the runner of a service that the manifest lists. */
 	getRunner(service: ServiceName): ServiceRunner;
 	getSendAwayPolicy(service: ServiceName): ISendAwayPolicy;
+	/** Lists entries of other regions with the capacity that they reported for the service. */
 	listOffers(service: ServiceName): readonly RemoteOffer[];
 	findPeer(instance: InstanceId): PeerConnection | undefined;
+	/** Describes this entry as the sender of forwarded requests. */
 	describeSender(): ForwardSender;
 	openRun(call: AcceptedCall, sink: IAnswerSink): RequestRun;
 	noteForwardEnd(service: ServiceName, region: RegionName, end: ForwardEnd): void;
 	findRegion(instance: InstanceId): RegionName | undefined;
-	/** Where the shared part of the request's prompt belongs, of the regions that may answer it. */
+	/** Finds the region, among those allowed, whose targets should cache the shared part of the prompt. */
 	findOwnerRegion(run: RequestRun): OwnerRegion | undefined;
 	noteTicket(result: TicketResult): void;
 	recordRefused(call: RefusedCall, error: RequestError): void;
 }
 
-/** Entries of other regions that one request is sent to in turn where it may not be answered here. */
-const mostEntriesAsked = 3;
+/** How many entries of other regions are tried in turn for a request that may not be answered in this region. */
+const maxForwardsPerRequest = 3;
 
-/** When a caller comes back whose request no entry of its regions could be found for, in milliseconds. */
-const unreachableReturnMs = 500;
+/** Suggested to callers as the retry delay if no entry is known in the regions allowed to answer. */
+const unreachableRetryAfterMs = 500;
 
-/** Sends each accepted request on its way. */
-export class RequestRouter implements ITicketCarrier {
+/** Routes the accepted requests of one entry. */
+export class RequestRouter implements IRequestForwarder {
 	private readonly tickets: TicketRouter;
 
 	constructor(
-		private readonly surroundings: IRouterSurroundings,
+		private readonly context: IRouterContext,
 		tickets: TicketService,
 		private readonly timers: ITimerService,
 	) {
-		this.tickets = new TicketRouter(surroundings, tickets, this, timers);
+		this.tickets = new TicketRouter(context, tickets, this, timers);
 	}
 
-	/** Takes note of a request that was refused before its body was whole. */
+	/** Records a request that was refused before its body was complete. */
 	recordRefused(call: RefusedCall, error: RequestError): void {
-		this.surroundings.recordRefused(call, error);
+		this.context.recordRefused(call, error);
 	}
 
 	/**
-	 * Takes a request whose body is whole.
+	 * Routes a request whose body is complete.
 	 *
-	 * @param freshRefusal What a call with a fresh ticket is told in place of its run; a ticket already spent
-	 * is joined or replayed all the same.
+	 * @param newTicketRefusal If given, a call with an unused ticket is refused with this error. A call with a
+	 * used ticket still joins the running request of that ticket or receives its stored answer.
 	 */
-	take(call: AcceptedCall, sink: IAnswerSink, freshRefusal?: RequestError): void {
+	dispatch(call: AcceptedCall, sink: IAnswerSink, newTicketRefusal?: RequestError): void {
 		const { ticket } = call.head;
 		if (call.plan.repeat === RepeatRule.Idempotent) {
-			this.takeFree(this.openRun(call, sink));
+			this.dispatchUnticketed(this.openRun(call, sink));
 			return;
 		}
 		if (ticket !== undefined) {
-			this.tickets.take(call, ticket, sink, freshRefusal);
+			this.tickets.dispatch(call, ticket, sink, newTicketRefusal);
 			return;
 		}
 		const run = this.openRun(call, sink);
@@ -88,104 +90,114 @@
 			run.fail(createRequestError(ErrorKind.TicketMissing, `${call.head.method} ${call.head.path}`));
 			return;
 		}
-		this.takeFree(run);
+		this.dispatchUnticketed(run);
 	}
 
 	openRun(call: AcceptedCall, sink: IAnswerSink): RequestRun {
-		const run = this.surroundings.openRun(call, sink);
-		run.life.send(RequestEvent.AcceptHead);
+		const run = this.context.openRun(call, sink);
+		run.lifecycle.send(RequestEvent.AcceptHead);
 		return run;
 	}
 
-	private takeFree(run: RequestRun): void {
+	/** Routes a request that has no ticket, or needs none because it may be repeated. */
+	private dispatchUnticketed(run: RequestRun): void {
 		const { plan, origin } = run.call;
 		const mayLeaveRegion = plan.homeRegion === undefined && origin === undefined;
-		if (mayLeaveRegion && this.startAway(run, [])) {
+		if (mayLeaveRegion && this.startSendAway(run, [])) {
 			return;
 		}
-		if (!this.isAllowedHere(run)) {
-			run.fail(createUnreachableFault());
+		if (!this.isLocalRegionAllowed(run)) {
+			run.fail(createUnreachableError());
 			return;
 		}
-		this.submitHere(run);
+		this.submitLocally(run);
 	}
 
-	private isAllowedHere(run: RequestRun): boolean {
-		return isAllowedRegion(run.call.plan, this.surroundings.describeSender().region);
+	private isLocalRegionAllowed(run: RequestRun): boolean {
+		return isAllowedRegion(run.call.plan, this.context.describeSender().region);
 	}
 
-	/** Sends the request to another region if the policy says so; `tried` entries are not asked again. */
-	private startAway(run: RequestRun, tried: readonly InstanceId[]): boolean {
+	/** Forwards the request to another region if the policy decides so, except to the entries in `triedEntries`. */
+	private startSendAway(run: RequestRun, triedEntries: readonly InstanceId[]): boolean {
 		const { plan, head } = run.call;
-		const runner = this.surroundings.getRunner(head.service);
+		const runner = this.context.getRunner(head.service);
 		const request = createSchedulable(run);
-		const owner = this.surroundings.findOwnerRegion(run);
+		const owner = this.context.findOwnerRegion(run);
 		const question = {
 			request,
 			localRoom: runner.measureRoom(request),
 			...(owner === undefined ? {} : { owner }),
-			offers: this.surroundings
+			offers: this.context
 				.listOffers(head.service)
-				.filter(({ instance, region }) => isAllowedRegion(plan, region) && !tried.includes(instance)),
-			isUnservedHere: !this.isAllowedHere(run) || !runner.hasTarget(),
+				.filter(({ instance, region }) => isAllowedRegion(plan, region) && !triedEntries.includes(instance)),
+			isUnservedHere: !this.isLocalRegionAllowed(run) || !runner.hasTarget(),
 		};
-		const policy = this.surroundings.getSendAwayPolicy(head.service);
-		const answer = policy.decide(question, this.timers.getNow());
-		const peer = answer.sendTo === undefined ? undefined : this.surroundings.findPeer(answer.sendTo);
-		if (answer.sendTo === undefined || peer === undefined) {
+		const policy = this.context.getSendAwayPolicy(head.service);
+		const decision = policy.decide(question, this.timers.getNow());
+		const peer = decision.sendTo === undefined ? undefined : this.context.findPeer(decision.sendTo);
+		if (decision.sendTo === undefined || peer === undefined) {
 			return false;
 		}
-		void this.sendAway(run, { to: answer.sendTo, peer, reason: answer.reason }, tried);
+		void this.sendAway(run, { to: decision.sendTo, peer, reason: decision.reason }, triedEntries);
 		return true;
 	}
 
-	private submitHere(run: RequestRun): void {
-		const runner = this.surroundings.getRunner(run.call.head.service);
+	private submitLocally(run: RequestRun): void {
+		const runner = this.context.getRunner(run.call.head.service);
 		run.setAbandonHandler(() => {
 			runner.abandon(run);
 		});
 		runner.submit(run);
 	}
 
-	private async sendAway(run: RequestRun, way: ForwardWay, tried: readonly InstanceId[]): Promise<void> {
+	private async sendAway(
+		run: RequestRun,
+		way: ForwardWay,
+		triedEntries: readonly InstanceId[],
+	): Promise<void> {
 		const { to } = way;
 		const startedMs = this.timers.getNow();
 		const service = run.call.head.service;
 		const end = await this.forward(run, way);
 		const tookMs = this.timers.getNow() - startedMs;
-		const region = this.surroundings.findRegion(to);
+		const region = this.context.findRegion(to);
 		if (region !== undefined) {
-			this.surroundings.noteForwardEnd(service, region, end);
+			this.context.noteForwardEnd(service, region, end);
 		}
 		const isAnswered = end.kind === ForwardEndKind.Answered;
-		const policy = this.surroundings.getSendAwayPolicy(service);
+		const policy = this.context.getSendAwayPolicy(service);
 		policy.noteEnd(to, isAnswered, tookMs, end.sentBytes + end.receivedBytes, this.timers.getNow());
-		this.followForward(run, end, [...tried, to]);
+		this.handleForwardEnd(run, end, [...triedEntries, to]);
 	}
 
-	/** A request that did not run elsewhere, or may be repeated, gets its chance at home. */
-	private followForward(run: RequestRun, end: ForwardEnd, tried: readonly InstanceId[]): void {
+	/**
+	 * Retries a request after a failed forward, if it was not run or may be repeated: in this region if allowed,
+	 * otherwise at another entry.
+	 */
+	private handleForwardEnd(run: RequestRun, end: ForwardEnd, triedEntries: readonly InstanceId[]): void {
 		if (run.hasEnded() || end.error === undefined) {
 			return;
 		}
-		const isUnrun = end.kind === ForwardEndKind.NotConnected || end.kind === ForwardEndKind.Refused;
-		if (!isUnrun && !isRepeatAllowed(run)) {
+		const isNotRun = end.kind === ForwardEndKind.NotConnected || end.kind === ForwardEndKind.Refused;
+		if (!isNotRun && !isRepeatAllowed(run)) {
 			run.fail(end.error);
 			return;
 		}
-		if (!isUnrun) {
+		if (!isNotRun) {
 			run.markInterrupted();
-			run.life.send(isAnswering(run) ? RequestEvent.Interrupt : RequestEvent.Retry);
+			run.lifecycle.send(isAnswering(run) ? RequestEvent.Interrupt : RequestEvent.Retry);
 		}
-		if (!this.isAllowedHere(run)) {
-			const isSent =
-				tried.length < mostEntriesAsked && run.getRemainingMs() > 0 && this.startAway(run, tried);
-			if (!isSent) {
+		if (!this.isLocalRegionAllowed(run)) {
+			const isForwarded =
+				triedEntries.length < maxForwardsPerRequest &&
+				run.getRemainingMs() > 0 &&
+				this.startSendAway(run, triedEntries);
+			if (!isForwarded) {
 				run.fail(end.error);
 			}
 			return;
 		}
-		const runner = this.surroundings.getRunner(run.call.head.service);
+		const runner = this.context.getRunner(run.call.head.service);
 		run.setAbandonHandler(() => {
 			runner.abandon(run);
 		});
@@ -193,7 +205,7 @@
 	}
 
 	async forward(run: RequestRun, way: ForwardWay): Promise<ForwardEnd> {
-		const forward = new ForwardRun(run, way, this.surroundings.describeSender(), this.timers);
+		const forward = new ForwardRun(run, way, this.context.describeSender(), this.timers);
 		run.setAbandonHandler(() => {
 			forward.abandon();
 			run.abandon();
@@ -202,7 +214,7 @@
 	}
 }
 
-/** Whether a request that may have run elsewhere may run again; of an answer that has begun, only a resumable one. */
+/** Whether a request that may have run at another entry may run again. A started answer must be resumable. */
 function isRepeatAllowed(run: RequestRun): boolean {
 	const { plan, head } = run.call;
 	const isRepeatable = plan.repeat === RepeatRule.Idempotent;
@@ -210,8 +222,8 @@
 	return isRepeatable && mayGoOn && run.getRemainingMs() > 0;
 }
 
-function createUnreachableFault(): RequestError {
-	return createRequestError(ErrorKind.PeerUnreachable, 'no entry of the regions that may answer is known', {
-		retryAfterMs: unreachableReturnMs,
+function createUnreachableError(): RequestError {
+	return createRequestError(ErrorKind.PeerUnreachable, 'no known entry in the regions allowed to answer', {
+		retryAfterMs: unreachableRetryAfterMs,
 	});
 }
--- a/src/entry/node/requests/requestRun.ts
+++ b/src/entry/node/requests/requestRun.ts
@@ -1,7 +1,7 @@
 /**
- * One request at one entry: its call, its life on the chart, and the sink its answer goes to. Whatever
- * happens to a request goes through here, so that the chart, the journal and the metrics never disagree
- * with what the caller was told.
+ * One request at one entry: the accepted call, its state machine, and the sink that receives its answer. Every
+ * step of a request goes through this class, so that the state machine, the journal and the metrics always
+ * agree with what the caller received.
  */
 
 import type { ErrorKind, RequestError } from '../../../core/errors/common/errorKinds';
@@ -20,13 +20,13 @@
 import type { AttemptEnd } from '../../common/scheduling/serviceScheduler';
 import { EventCutter } from '../../common/streams/eventCutter';
 
-/** Which entry forwarded a request here. */
+/** The entry that forwarded a request to this one. */
 export interface ForwardOrigin {
 	readonly instance: InstanceId;
 	readonly region: RegionName;
 }
 
-/** A request whose head and body were accepted. Times are monotonic milliseconds. */
+/** A request whose head and body were accepted. Times are in milliseconds of a monotonic clock. */
 export interface AcceptedCall {
 	readonly id: RequestId;
 	readonly head: CallHead;
@@ -34,12 +34,12 @@
 	readonly body: Uint8Array;
 	readonly arrivedMs: number;
 	readonly deadlineMs: number;
-	/** Whether the caller named the deadline; one that it did not name never cuts an answer that flows. */
+	/** Whether the caller set the deadline. A default deadline never cuts off an answer that has started. */
 	readonly isDeadlineGiven: boolean;
 	readonly origin: ForwardOrigin | undefined;
 }
 
-/** How a request ended, for those who count. */
+/** How a request ended, for the metrics. */
 export interface RequestEnd {
 	readonly outcome: Outcome;
 	readonly errorKind: ErrorKind | undefined;
@@ -47,36 +47,36 @@
 	readonly tookMs: number;
 }
 
-/** Hears what is counted of a request. */
+/** Receives the measurements of a request. */
 export interface IRunObserver {
-	/** An attempt starts, `waitedMs` after the request was submitted or taken back. */
+	/** Called when an attempt starts, `waitedMs` after the request was submitted or queued again for a retry. */
 	noteQueueWait(run: RequestRun, waitedMs: number): void;
 	noteAttemptEnd(run: RequestRun, end: AttemptEnd): void;
-	/** Milliseconds between two pieces of the answer. */
-	noteGap(run: RequestRun, gapMs: number): void;
+	/** Called with the time between two chunks of the answer. */
+	noteAnswerGap(run: RequestRun, gapMs: number): void;
 	/** Called once. */
 	noteEnd(run: RequestRun, end: RequestEnd): void;
 }
 
-/** A request under way. */
+/** A request in progress. */
 export class RequestRun {
 	private firstByteMs: number | undefined;
-	private submittedMs: number | undefined;
-	private lastPieceMs: number | undefined;
+	private waitingSinceMs: number | undefined;
+	private lastChunkMs: number | undefined;
 	private isOver = false;
 	private abandonHandler: (() => void) | undefined;
 	private events: EventCutter | undefined;
 
 	constructor(
 		readonly call: AcceptedCall,
-		readonly life: RequestLife,
+		readonly lifecycle: RequestLife,
 		private readonly sink: IAnswerSink,
 		private readonly journal: IRequestJournal,
 		private readonly timers: ITimerService,
 		private readonly observer: IRunObserver,
 	) {
 		sink.watchAbandoned(() => {
-			this.handleAbandoned();
+			this.handleCallerGone();
 		});
 	}
 
@@ -96,112 +96,112 @@
 		this.journal.note(this.call.id, step, detail, this.timers.getNow());
 	}
 
-	/** The request waits for an attempt, its first or another one. */
+	/** Records that the request starts to wait for its first or next attempt. */
 	noteSubmitted(): void {
-		this.submittedMs = this.timers.getNow();
+		this.waitingSinceMs = this.timers.getNow();
 	}
 
 	noteAttemptStart(): void {
-		if (this.submittedMs !== undefined) {
-			this.observer.noteQueueWait(this, this.timers.getNow() - this.submittedMs);
+		if (this.waitingSinceMs !== undefined) {
+			this.observer.noteQueueWait(this, this.timers.getNow() - this.waitingSinceMs);
 		}
-		this.submittedMs = undefined;
+		this.waitingSinceMs = undefined;
 	}
 
 	noteAttemptEnd(end: AttemptEnd): void {
 		this.observer.noteAttemptEnd(this, end);
 	}
 
-	/** Hands the answer's head on; of an answer that another target goes on with, the caller has it already. */
+	/** Forwards the head of the answer. If another target resumes the answer, the caller already has the head. */
 	begin(head: AnswerHead): void {
-		this.life.send(RequestEvent.FirstByte);
+		this.lifecycle.send(RequestEvent.FirstByte);
 		if (this.hasBegun()) {
-			this.note(JournalStep.FirstByte, `goes on after event ${this.getLastEventId() ?? 'none'}`);
+			this.note(JournalStep.FirstByte, `resumed after event ${this.getLastEventId() ?? 'none'}`);
 			return;
 		}
 		if (isEventStream(this.call, head)) {
 			this.events = new EventCutter();
 		}
-		this.noteBegun(head);
+		this.noteAnswerBegun(head);
 	}
 
-	/** The last event that the caller has of a stream, or that it said it has. */
+	/** Returns the id of the last event forwarded to the caller, or else the one given in the caller's request. */
 	getLastEventId(): string | undefined {
 		return this.events?.getLastEventId() ?? this.call.head.routed?.lastEventId;
 	}
 
-	/** The answer broke off; what the caller has of it ends with a whole event. */
+	/** Discards an incomplete event after an answer was interrupted, so that the caller has only complete events. */
 	markInterrupted(): void {
 		this.events?.clearRest();
 	}
 
-	/** Hands on the head of a kept answer; the chart already stands at `answering`. */
-	beginKept(head: AnswerHead): void {
-		this.noteBegun(head);
+	/** Forwards the head of a stored answer. The state machine is already in the state `answering`. */
+	beginKeptAnswer(head: AnswerHead): void {
+		this.noteAnswerBegun(head);
 	}
 
-	/** Gives false where the caller is behind. */
+	/** Returns false if the caller reads more slowly than data arrives. */
 	write(chunk: Uint8Array): boolean {
 		const nowMs = this.timers.getNow();
-		if (this.lastPieceMs !== undefined) {
-			this.observer.noteGap(this, nowMs - this.lastPieceMs);
+		if (this.lastChunkMs !== undefined) {
+			this.observer.noteAnswerGap(this, nowMs - this.lastChunkMs);
 		}
-		this.lastPieceMs = nowMs;
+		this.lastChunkMs = nowMs;
 		if (this.events === undefined) {
 			return this.sink.write(chunk);
 		}
-		const whole = this.events.push(chunk);
-		return whole.byteLength === 0 || this.sink.write(whole);
+		const completeEvents = this.events.push(chunk);
+		return completeEvents.byteLength === 0 || this.sink.write(completeEvents);
 	}
 
 	waitForDrain(resume: () => void): void {
 		this.sink.waitForDrain(resume);
 	}
 
-	/** What is done when the caller goes away; whoever holds the request last has the say. */
+	/** Sets what to do when the caller disconnects, replacing any handler set before. */
 	setAbandonHandler(handle: () => void): void {
 		this.abandonHandler = handle;
 	}
 
-	/** The answer is whole. */
+	/** Ends the request after its complete answer. */
 	finish(): void {
 		if (this.isOver) {
 			return;
 		}
-		this.life.send(RequestEvent.LastByte);
+		this.lifecycle.send(RequestEvent.LastByte);
 		const rest = this.events?.takeRest();
 		if (rest !== undefined && rest.byteLength > 0) {
 			this.sink.write(rest);
 		}
 		this.sink.end();
-		this.close(Outcome.Answered, undefined, 'the answer is whole');
+		this.close(Outcome.Answered, undefined, 'the answer is complete');
 	}
 
-	/** Ends the request without its whole answer: a refusal before the first byte, a cut after it. */
+	/** Ends the request without a complete answer: with an error before the first byte, by cutting it off after. */
 	fail(error: RequestError): void {
 		if (this.isOver) {
 			return;
 		}
-		const told = this.life.refuse(error);
+		const reported = this.lifecycle.refuse(error);
 		if (this.hasBegun()) {
 			this.sink.cut();
 		} else {
-			this.sink.refuse(told);
+			this.sink.refuse(reported);
 		}
-		this.close(getOutcomeOf(told), told.kind, `${told.kind}: ${told.detail}`);
+		this.close(getOutcomeOf(reported), reported.kind, `${reported.kind}: ${reported.detail}`);
 	}
 
-	/** The caller went away; nobody is left to be told. */
+	/** Ends the request after its caller disconnected, without sending anything. */
 	abandon(): void {
 		if (this.isOver) {
 			return;
 		}
-		this.life.send(RequestEvent.CallerGone);
+		this.lifecycle.send(RequestEvent.CallerGone);
 		const error = createRequestError(Kind.CallerGone, 'the caller closed its connection');
-		this.close(this.life.getOutcome(), error.kind, error.detail);
+		this.close(this.lifecycle.getOutcome(), error.kind, error.detail);
 	}
 
-	private handleAbandoned(): void {
+	private handleCallerGone(): void {
 		if (this.isOver) {
 			return;
 		}
@@ -212,7 +212,7 @@
 		this.abandonHandler();
 	}
 
-	private noteBegun(head: AnswerHead): void {
+	private noteAnswerBegun(head: AnswerHead): void {
 		this.firstByteMs = this.timers.getNow() - this.call.arrivedMs;
 		this.note(JournalStep.FirstByte, `status ${head.status}`);
 		this.sink.begin(head);
--- a/src/entry/node/requests/routerSurroundings.ts
+++ b/src/entry/node/requests/routerContext.ts
@@ -1,5 +1,6 @@
 /**
- * The router's view of the entry: runners, offers of other regions, peers.
+ * Gives the request router access to the rest of the entry: service runners, peers, and the capacity that other
+ * regions offer.
  */
 
 import type { RequestError } from '../../../core/errors/common/errorKinds';
@@ -23,29 +24,32 @@
 import type { PeerConnection } from '../peers/peerClients';
 import type { ITargetRegistry } from '../targets/targetDirectory';
 import type { ActiveRuns, RefusedCall } from './activeRuns';
-import type { IRouterSurroundings } from './requestRouter';
+import type { IRouterContext } from './requestRouter';
 import type { AcceptedCall, RequestRun } from './requestRun';
 import type { ServiceRunner } from './serviceRunner';
 import type { ServiceRunners } from './serviceRunners';
 
-/** A link that nobody described: as far as regions of one continent, and as thin as the thinnest in use. */
-const untoldLink = { oneWayMs: 55, megabitsPerSecond: 90, sharePercent: 50 };
+/**
+ * Assumed if the manifest describes no links: the latency between regions of one continent, and the bandwidth of
+ * the slowest link in use.
+ */
+const defaultLink = { oneWayMs: 55, megabitsPerSecond: 90, sharePercent: 50 };
 
-/** A megabit a second in bytes a millisecond. */
-const bytesPerMsOfMegabit = 125;
-const wholePercent = 100;
+/** Converts megabits per second to bytes per millisecond. */
+const bytesPerMsPerMegabitPerSecond = 125;
+const fullPercent = 100;
 
-const resultsOfEnds: Readonly<Partial<Record<ForwardEndKind, SentAwayResult>>> = {
+const sentAwayResults: Readonly<Partial<Record<ForwardEndKind, SentAwayResult>>> = {
 	[ForwardEndKind.Answered]: SentAwayResult.Answered,
 	[ForwardEndKind.Refused]: SentAwayResult.Refused,
 	[ForwardEndKind.NotConnected]: SentAwayResult.Failed,
 	[ForwardEndKind.Failed]: SentAwayResult.Failed,
 };
 
-/** What one entry's router works with. */
-export class RouterSurroundings implements IRouterSurroundings {
+/** Implements the router's context on top of the parts of one entry. */
+export class RouterContext implements IRouterContext {
 	constructor(
-		private readonly own: EntrySettings['instance'],
+		private readonly ownInstance: EntrySettings['instance'],
 		private readonly manifests: ManifestKeeper,
 		private readonly runners: ServiceRunners,
 		private readonly targets: ITargetRegistry,
@@ -63,10 +67,10 @@
 	}
 
 	listOffers(service: ServiceName): readonly RemoteOffer[] {
-		const elsewhere = this.fleet.listLiveViews(
-			view => view.region !== this.own.region && this.targets.isServed(service, view.region),
+		const remoteViews = this.fleet.listLiveViews(
+			view => view.region !== this.ownInstance.region && this.targets.isServed(service, view.region),
 		);
-		return elsewhere.flatMap(aged => this.createOffer(service, aged));
+		return remoteViews.flatMap(aged => this.createOffers(service, aged));
 	}
 
 	findPeer(instance: InstanceId): PeerConnection | undefined {
@@ -79,8 +83,8 @@
 
 	describeSender(): ForwardSender {
 		return {
-			instance: this.own.id,
-			region: this.own.region,
+			instance: this.ownInstance.id,
+			region: this.ownInstance.region,
 			manifestVersion: this.manifests.getVersion() as ManifestVersion,
 		};
 	}
@@ -92,7 +96,7 @@
 			return undefined;
 		}
 		const region = this.targets.findOwnerRegion(call.head.service, shared.id, call.plan.allowedRegions);
-		return region && { region, isOwn: region === this.own.region, tokens: shared.tokens };
+		return region && { region, isOwn: region === this.ownInstance.region, tokens: shared.tokens };
 	}
 
 	noteTicket(result: TicketResult): void {
@@ -108,7 +112,7 @@
 	}
 
 	noteForwardEnd(service: ServiceName, region: RegionName, end: ForwardEnd): void {
-		const result = resultsOfEnds[end.kind];
+		const result = sentAwayResults[end.kind];
 		if (result !== undefined) {
 			this.metrics.noteSentAway(service, region, result);
 		}
@@ -116,7 +120,7 @@
 		this.metrics.noteLinkBytes(region, ByteDirection.Received, end.receivedBytes);
 	}
 
-	private createOffer(service: ServiceName, { view, ageMs }: KnownInstance): RemoteOffer[] {
+	private createOffers(service: ServiceName, { view, ageMs }: KnownInstance): RemoteOffer[] {
 		const room = findRoom(view, service);
 		const { region } = view;
 		const link = this.findLink(region);
@@ -136,25 +140,25 @@
 	}
 
 	/**
-	 * This entry's part of a link, for one service. Each entry of the region sends for each service that may
-	 * leave it, and none knows what the others send; parts of the whole keep their sum under the cap.
+	 * Computes this entry's share of a link for one service. Every entry of the region may send requests of every
+	 * service that may leave the region, without coordination. Equal shares keep the total below the cap.
 	 */
 	private computeOwnLinkRate(link: ManifestLink): number {
-		const cap = (link.megabitsPerSecond * bytesPerMsOfMegabit * link.sharePercent) / wholePercent;
+		const cap = (link.megabitsPerSecond * bytesPerMsPerMegabitPerSecond * link.sharePercent) / fullPercent;
 		const services = this.manifests.getCurrent()?.accepted.manifest.services ?? [];
-		const leaving = services.filter(service =>
+		const servicesUsingLinks = services.filter(service =>
 			[service, ...service.rules].some(rule => rule.residency === ResidencyRule.Any),
 		);
-		const entries = this.fleet.countLive(this.own.region, this.own.region);
-		return cap / Math.max(1, leaving.length * entries);
+		const entries = this.fleet.countLive(this.ownInstance.region, this.ownInstance.region);
+		return cap / Math.max(1, servicesUsingLinks.length * entries);
 	}
 
-	/** A manifest that tells of no links leaves regions connected all the same, only nobody said how well. */
+	/** Finds the link to a region. If the manifest describes no links at all, a default link is assumed. */
 	private findLink(region: RegionName): ManifestLink | undefined {
 		const links = this.manifests.getCurrent()?.accepted.manifest.links ?? [];
 		if (links.length === 0) {
-			return { between: [this.own.region, region], ...untoldLink };
+			return { between: [this.ownInstance.region, region], ...defaultLink };
 		}
-		return links.find(({ between }) => between.includes(region) && between.includes(this.own.region));
+		return links.find(({ between }) => between.includes(region) && between.includes(this.ownInstance.region));
 	}
 }
--- a/src/entry/node/requests/schedulableRequest.ts
+++ b/src/entry/node/requests/schedulableRequest.ts
@@ -1,5 +1,5 @@
 /**
- * A request as the scheduler sees it.
+ * Converts a request to the form that the scheduler works with.
  */
 
 import { RepeatRule } from '../../../core/manifest/common/manifest';
@@ -7,7 +7,7 @@
 import type { RequestWork, SchedulableRequest } from '../../common/scheduling/serviceScheduler';
 import type { RequestRun } from './requestRun';
 
-/** Makes the scheduler's view of a request. */
+/** Creates the scheduler's representation of a request. */
 export function createSchedulable(run: RequestRun): SchedulableRequest {
 	const { id, head, plan, body, arrivedMs, deadlineMs } = run.call;
 	const { routed } = head;
--- a/src/entry/node/requests/serviceRunner.ts
+++ b/src/entry/node/requests/serviceRunner.ts
@@ -1,6 +1,6 @@
 /**
- * Carries out what a service's scheduler decides: starts attempts, hands their ends back, and answers the
- * requests that the scheduler refuses. It decides nothing itself.
+ * Applies the decisions of a service's scheduler: starts attempts, reports their results to the scheduler, and
+ * answers the requests that the scheduler refuses. All scheduling decisions are made by the scheduler.
  */
 
 import type { IDisposable } from '../../../base/common/lifecycle';
@@ -27,10 +27,11 @@
 import { endUnanswered, sendRetryEvent } from './attemptEnds';
 import type { IAttemptOwner } from './attemptRun';
 import { AttemptRun } from './attemptRun';
-import type { CrashWatch } from './crashWatch';
+import type { CrashDetector } from './crashDetector';
 import type { AcceptedCall, RequestRun } from './requestRun';
 import { createSchedulable } from './schedulableRequest';
 
+/** A submitted request with the number of attempts so far and the attempt in progress. */
 interface RunState {
 	readonly run: RequestRun;
 	attempts: number;
@@ -48,7 +49,7 @@
 	constructor(
 		private readonly scheduler: IServiceScheduler,
 		private readonly targets: ITargetDirectory,
-		private readonly crashes: CrashWatch,
+		private readonly crashDetector: CrashDetector,
 		private readonly dialect: ITargetDialect,
 		private readonly timers: ITimerService,
 	) {
@@ -66,20 +67,20 @@
 		this.advance();
 	}
 
-	/** Takes a request in; from here on it is answered, refused or abandoned by this runner. */
+	/** Submits a request, which this runner then answers, refuses or abandons. */
 	submit(run: RequestRun): void {
 		this.states.set(run.call.id, { run, attempts: 0, running: undefined });
-		run.life.send(RequestEvent.Enqueue);
+		run.lifecycle.send(RequestEvent.Enqueue);
 		this.submitToScheduler(run);
 	}
 
-	/** Takes in a request that another entry gave back without running it. */
+	/** Submits a request after a failed forward to another entry; its state machine is already in a queued state. */
 	submitReturned(run: RequestRun): void {
 		this.states.set(run.call.id, { run, attempts: 0, running: undefined });
 		this.submitToScheduler(run);
 	}
 
-	/** The caller went away: a waiting request is forgotten, a running one's target is told by its connection. */
+	/** Handles a disconnected caller: a waiting request is removed, a running attempt's connection is closed. */
 	abandon(run: RequestRun): void {
 		const state = this.states.get(run.call.id);
 		if (state === undefined) {
@@ -95,7 +96,7 @@
 		this.advance();
 	}
 
-	/** An attempt that has ended but whose end is still being looked into is settled when that is done. */
+	/** If the attempt has already ended and a crash check is pending, `finishAttempt` does the rest afterwards. */
 	private abandonRunning(run: RequestRun, attempt: AttemptRun): void {
 		if (attempt.isUnderWay()) {
 			attempt.cancel(createRequestError(ErrorKind.CallerGone, 'the caller closed its connection'));
@@ -104,12 +105,12 @@
 		run.abandon();
 	}
 
-	/** Room for a normal request, or for the one given. */
+	/** Measures the capacity left for a normal request, or for the given one. */
 	measureRoom(request?: SchedulableRequest): ServiceRoom {
 		return this.scheduler.measureRoom(this.timers.getNow(), request);
 	}
 
-	/** Whether any target of the service is in use in this region. */
+	/** Whether the service has a usable target in this region. */
 	hasTarget(): boolean {
 		return this.hasUsableTarget;
 	}
@@ -129,7 +130,7 @@
 		}
 	}
 
-	isTakenBack({ run }: AttemptRun): boolean {
+	isRetryAllowed({ run }: AttemptRun): boolean {
 		return this.scheduler.isRetriable(run.call.id, this.timers.getNow());
 	}
 
@@ -147,12 +148,12 @@
 			this.finishAttempt(attempt, end, error);
 			return;
 		}
-		void this.crashes.checkDeath(target, this.listInFlight(target)).then(() => {
+		void this.crashDetector.checkForCrash(target, this.listInFlight(target)).then(() => {
 			this.finishAttempt(attempt, end, error);
 		});
 	}
 
-	/** Calls in flight at a target, those whose connection just broke included. */
+	/** Lists the calls in flight at a target, including those whose connection just broke. */
 	private listInFlight(target: TargetId): AcceptedCall[] {
 		return [...this.states.values()]
 			.filter(({ running }) => running?.target === target)
@@ -166,12 +167,12 @@
 			return;
 		}
 		state.running = undefined;
-		const refusal = run.hasEnded() ? undefined : this.crashes.findRefusal(run.call);
+		const refusal = run.hasEnded() ? undefined : this.crashDetector.findRefusal(run.call);
 		const isStopped = refusal !== undefined || (run.hasEnded() && end !== AttemptEnd.Answered);
 		const schedulerEnd = isStopped ? AttemptEnd.Cancelled : end;
-		const isTakenBack = this.scheduler.noteEnd(run.call.id, schedulerEnd, this.timers.getNow());
-		if (isTakenBack) {
-			this.takeBack(run, end);
+		const isRetried = this.scheduler.noteEnd(run.call.id, schedulerEnd, this.timers.getNow());
+		if (isRetried) {
+			this.noteRetry(run, end);
 		} else {
 			this.states.delete(run.call.id);
 			endUnanswered(run, refusal ?? error);
@@ -179,33 +180,39 @@
 		this.advance();
 	}
 
-	private takeBack(run: RequestRun, end: AttemptEnd): void {
+	private noteRetry(run: RequestRun, end: AttemptEnd): void {
 		sendRetryEvent(run, end);
 		run.note(JournalStep.Retried, end);
 		run.noteSubmitted();
 	}
 
 	private submitToScheduler(run: RequestRun): void {
-		const refusal = this.crashes.findRefusal(run.call);
+		const refusal = this.crashDetector.findRefusal(run.call);
 		if (refusal !== undefined) {
 			this.states.delete(run.call.id);
 			run.note(JournalStep.Refused, refusal.detail);
 			run.fail(refusal);
 			return;
 		}
-		run.note(JournalStep.Queued, this.describeRoom());
+		run.note(JournalStep.Queued, this.describeQueue());
 		run.noteSubmitted();
-		const request = { ...createSchedulable(run), isKeptApart: () => this.crashes.isSighted(run.call) };
+		const request = {
+			...createSchedulable(run),
+			isKeptApart: () => this.crashDetector.isSuspected(run.call),
+		};
 		this.scheduler.submit(request, this.timers.getNow());
 		this.advance();
 	}
 
-	private describeRoom(): string {
+	private describeQueue(): string {
 		const room = this.measureRoom();
 		return `${room.queued} waiting, ${room.running} running, ${Math.round(room.waitMs)} ms predicted wait`;
 	}
 
-	/** Carrying out a decision can bring about the next one at once, so one loop drains them all. */
+	/**
+	 * Applies the scheduler's decisions until none is left. Applying a decision can call this method again, and
+	 * such a nested call only makes the outer loop run once more.
+	 */
 	private advance(): void {
 		if (this.isAdvancing) {
 			this.mustAdvanceAgain = true;
@@ -215,14 +222,14 @@
 		let isUnfinished = true;
 		while (isUnfinished) {
 			this.mustAdvanceAgain = false;
-			this.carryOut(this.scheduler.advance(this.timers.getNow()));
+			this.applyDecisions(this.scheduler.advance(this.timers.getNow()));
 			isUnfinished = this.mustAdvanceAgain;
 		}
 		this.isAdvancing = false;
 		this.scheduleNext();
 	}
 
-	private carryOut(decisions: readonly ScheduleDecision[]): void {
+	private applyDecisions(decisions: readonly ScheduleDecision[]): void {
 		for (const decision of decisions) {
 			if (decision.kind === ScheduleDecisionKind.Start) {
 				this.start(decision);
@@ -252,7 +259,7 @@
 		state.attempts++;
 		state.run.note(JournalStep.Started, `${decision.target}: ${decision.reason}`);
 		if (client === undefined) {
-			this.endVanished(state, decision.target);
+			this.endForRemovedTarget(state, decision.target);
 			return;
 		}
 		const attempt = new AttemptRun(
@@ -273,16 +280,16 @@
 		return target === undefined ? undefined : this.targets.findAddress(target);
 	}
 
-	/** The target left the manifest between the decision and this line. */
-	private endVanished(state: RunState, target: TargetId): void {
+	/** Ends an attempt whose target was removed after the scheduler chose it. */
+	private endForRemovedTarget(state: RunState, target: TargetId): void {
 		const { run } = state;
-		run.life.send(RequestEvent.Start);
-		const isTakenBack = this.scheduler.noteEnd(run.call.id, AttemptEnd.NotConnected, this.timers.getNow());
-		run.life.send(RequestEvent.NotConnected);
+		run.lifecycle.send(RequestEvent.Start);
+		const isRetried = this.scheduler.noteEnd(run.call.id, AttemptEnd.NotConnected, this.timers.getNow());
+		run.lifecycle.send(RequestEvent.NotConnected);
 		this.mustAdvanceAgain = true;
-		if (!isTakenBack) {
+		if (!isRetried) {
 			this.states.delete(run.call.id);
-			run.fail(createRequestError(ErrorKind.NoTarget, `${target} is no longer in the manifest`));
+			run.fail(createRequestError(ErrorKind.NoTarget, `${target} is no longer in use by this entry`));
 		}
 	}
 
--- a/src/entry/node/requests/serviceRunners.ts
+++ b/src/entry/node/requests/serviceRunners.ts
@@ -1,6 +1,6 @@
 /**
- * One runner and one send-away policy for each service that the manifest names, kept supplied with the
- * targets of the region.
+ * Holds one runner and one send-away policy for each service, and updates the runners when the targets of the
+ * region change. A send-away policy decides which requests are forwarded to another region.
  */
 
 import { subscribeTo } from '../../../base/common/channel';
@@ -13,34 +13,35 @@
 
 import type { ManifestKeeper } from '../manifest/manifestKeeper';
 import type { EntrySharing, ITargetRegistry } from '../targets/targetDirectory';
-import type { CrashWatch } from './crashWatch';
+import type { CrashDetector } from './crashDetector';
 import { ServiceRunner } from './serviceRunner';
 
-/** What decides for a service, and how its targets are spoken to. */
+/** The scheduler and send-away policy for services, and the protocol dialect of their targets. */
 export interface IServicePolicies {
+	/** The dialect of requests to targets. */
 	readonly targets: ITargetDialect;
 	createScheduler(): IServiceScheduler;
 	createSendAway(): ISendAwayPolicy;
 }
 
-/** How the live entries share the region's targets. */
-export type DescribeSharing = () => EntrySharing;
+/** Returns how the live entries share the region's targets. */
+export type GetEntrySharing = () => EntrySharing;
 
-interface KnownService {
+interface ServiceState {
 	readonly runner: ServiceRunner;
 	readonly sendAway: ISendAwayPolicy;
 }
 
-/** Owns the runners. */
+/** Creates and owns the runners of all services. */
 export class ServiceRunners extends Disposable {
-	private readonly services = new Map<ServiceName, KnownService>();
-	private readonly owned = this.register(new DisposableStore());
+	private readonly services = new Map<ServiceName, ServiceState>();
+	private readonly ownedRunners = this.register(new DisposableStore());
 
 	constructor(
 		private readonly manifests: ManifestKeeper,
 		private readonly targets: ITargetRegistry,
-		private readonly describeSharing: DescribeSharing,
-		private readonly crashes: CrashWatch,
+		private readonly getEntrySharing: GetEntrySharing,
+		private readonly crashDetector: CrashDetector,
 		private readonly policies: IServicePolicies,
 		private readonly timers: ITimerService,
 	) {
@@ -53,35 +54,35 @@
 	}
 
 	getRunner(service: ServiceName): ServiceRunner {
-		return this.open(service).runner;
+		return this.openService(service).runner;
 	}
 
 	getSendAwayPolicy(service: ServiceName): ISendAwayPolicy {
-		return this.open(service).sendAway;
+		return this.openService(service).sendAway;
 	}
 
-	/** Every service that the manifest in force names. */
+	/** Lists the services of the current manifest. */
 	listServices(): ServiceName[] {
 		return this.manifests.getCurrent()?.accepted.manifest.services.map(({ name }) => name) ?? [];
 	}
 
-	/** Entries came or went, so each one's share of the targets is another. */
+	/** Updates all runners after the set of live entries, and so this entry's share of each target, changed. */
 	updateAll(): void {
 		for (const service of this.services.keys()) {
 			this.update(service);
 		}
 	}
 
-	private open(service: ServiceName): KnownService {
+	private openService(service: ServiceName): ServiceState {
 		const known = this.services.get(service);
 		if (known !== undefined) {
 			return known;
 		}
-		const runner = this.owned.add(
+		const runner = this.ownedRunners.add(
 			new ServiceRunner(
 				this.policies.createScheduler(),
 				this.targets,
-				this.crashes,
+				this.crashDetector,
 				this.policies.targets,
 				this.timers,
 			),
@@ -95,7 +96,7 @@
 	private update(service: ServiceName): void {
 		const described = this.manifests.getCurrent()?.index.findService(service);
 		const list =
-			described === undefined ? [] : this.targets.listSchedulable(described, this.describeSharing());
+			described === undefined ? [] : this.targets.listSchedulable(described, this.getEntrySharing());
 		this.services.get(service)?.runner.setTargets(list);
 	}
 }
--- a/src/entry/node/requests/test/flowFixtures.ts
+++ b/src/entry/node/requests/test/flowFixtures.ts
@@ -1,5 +1,5 @@
 /**
- * A service runner between scripted targets and a sink that remembers what its caller received.
+ * Test fixtures: a service runner with scripted targets, and a sink that captures what the caller receives.
  */
 
 import { ManualTimerService } from '../../../../base/common/manualTimerService';
@@ -24,24 +24,24 @@
 import { RequestEvent, RequestLife } from '../../../common/requests/requestLife';
 import { ServiceScheduler } from '../../../common/scheduling/scheduler';
 import type { AttemptRequest, IAttempt, IAttemptObserver, ITargetClient } from '../../targets/targetClient';
-import { CrashWatch } from '../crashWatch';
+import { CrashDetector } from '../crashDetector';
 import type { AcceptedCall, IRunObserver, RequestEnd } from '../requestRun';
 import { RequestRun } from '../requestRun';
 import { ServiceRunner } from '../serviceRunner';
 
-/** One attempt as a scripted target sees it. */
-export interface SeenAttempt {
+/** One attempt as received by a scripted target. */
+export interface CapturedAttempt {
 	readonly target: TargetId;
 	readonly request: AttemptRequest;
 	readonly observer: IAttemptObserver;
 	cancelled: string | undefined;
-	/** The rest of its answer is read and dropped, and its connection is used again. */
+	/** Whether the rest of the answer is discarded so that the connection can be reused. */
 	isReleased: boolean;
-	resumed: number;
+	resumeCount: number;
 }
 
-/** What a caller received. */
-export class RememberingSink implements IAnswerSink {
+/** Captures what a caller receives. */
+export class CapturingSink implements IAnswerSink {
 	head: AnswerHead | undefined;
 	text = '';
 	hasEnded = false;
@@ -81,24 +81,24 @@
 	}
 }
 
-/** The whole arrangement. */
+/** A service runner with its scripted targets, and everything recorded about them. */
 export interface Flow {
 	readonly timers: ManualTimerService;
 	readonly runner: ServiceRunner;
-	readonly attempts: SeenAttempt[];
-	readonly renewed: TargetId[];
-	readonly dead: Set<TargetId>;
-	/** Attempts made each time that the region was told of a death. */
-	readonly toldAfter: number[];
+	readonly attempts: CapturedAttempt[];
+	readonly renewedTargets: TargetId[];
+	readonly crashedTargets: Set<TargetId>;
+	/** The number of attempts so far, each time a crash was shared with the region. */
+	readonly attemptCountsWhenShared: number[];
 	readonly ends: RequestEnd[];
-	/** What was counted of the requests, in its order, but for their ends. */
-	readonly counted: string[];
-	submit(body?: string): RememberingSink;
-	/** Lets promises that are due waitForPromises. */
+	/** Measurements reported to the run observer, in order, except for the ends of requests. */
+	readonly observations: string[];
+	submit(body?: string): CapturingSink;
+	/** Waits until pending promise callbacks have run. */
 	waitForPromises(): Promise<void>;
 }
 
-/** One region, one organisation and one plain service. */
+/** Creates a manifest with one region, one organisation and one plain service. */
 export function createFlowManifest(repeat: RepeatRule): Manifest {
 	return checkManifest({
 		regions: [{ name: 'kingston', zones: ['kingston-a'] }],
@@ -118,48 +118,52 @@
 	return planCall(new ManifestIndex(manifest), manifest.regions[0]!.name, call)._unsafeUnwrap();
 }
 
-function createClient(target: TargetId, attempts: SeenAttempt[], renewed: TargetId[]): ITargetClient {
+function createClient(
+	target: TargetId,
+	attempts: CapturedAttempt[],
+	renewedTargets: TargetId[],
+): ITargetClient {
 	return {
 		send(request, observer): IAttempt {
-			const seen: SeenAttempt = {
+			const captured: CapturedAttempt = {
 				target,
 				request,
 				observer,
 				cancelled: undefined,
 				isReleased: false,
-				resumed: 0,
+				resumeCount: 0,
 			};
-			attempts.push(seen);
+			attempts.push(captured);
 			return {
-				resume: () => seen.resumed++,
+				resume: () => captured.resumeCount++,
 				cancel: reason => {
-					seen.cancelled = reason;
+					captured.cancelled = reason;
 				},
 				release: () => {
-					seen.isReleased = true;
+					captured.isReleased = true;
 				},
 			};
 		},
-		renewConnections: () => renewed.push(target),
+		renewConnections: () => renewedTargets.push(target),
 	};
 }
 
-/** Builds a runner before `targets` scripted targets. */
+/** Creates a runner with the given number of scripted targets. */
 export function createFlow(targets: number, repeat = RepeatRule.Idempotent): Flow {
 	const timers = new ManualTimerService();
-	const attempts: SeenAttempt[] = [];
-	const renewed: TargetId[] = [];
-	const dead = new Set<TargetId>();
-	const toldAfter: number[] = [];
+	const attempts: CapturedAttempt[] = [];
+	const renewedTargets: TargetId[] = [];
+	const crashedTargets = new Set<TargetId>();
+	const attemptCountsWhenShared: number[] = [];
 	const ends: RequestEnd[] = [];
-	const counted: string[] = [];
+	const observations: string[] = [];
 	const ids = Array.from({ length: targets }, (_, index) => `bookings-${index + 1}` as TargetId);
-	const clients = new Map(ids.map(id => [id, createClient(id, attempts, renewed)]));
-	const crashes = new CrashWatch(
+	const clients = new Map(ids.map(id => [id, createClient(id, attempts, renewedTargets)]));
+	const crashDetector = new CrashDetector(
 		new Quarantine(),
-		target => Promise.resolve(dead.has(target)),
+		target => Promise.resolve(crashedTargets.has(target)),
 		() => {
-			toldAfter.push(attempts.length);
+			attemptCountsWhenShared.push(attempts.length);
 			return Promise.resolve();
 		},
 		timers,
@@ -171,20 +175,20 @@
 		noteAttemptEnd: () => undefined,
 	};
 	const scheduler = new ServiceScheduler(new SeededRandom(7));
-	const runner = new ServiceRunner(scheduler, directory, crashes, new OwnTargetDialect(), timers);
+	const runner = new ServiceRunner(scheduler, directory, crashDetector, new OwnTargetDialect(), timers);
 	const zone = 'kingston-a' as ZoneName;
 	runner.setTargets(ids.map(id => ({ id, zone, isSameZone: true, slots: 8, share: 1, isLeaving: false })));
 	const journal = new RingRequestJournal(100, () => new Date(0));
 	const plan = createPlan(repeat);
-	const observer = createObserver(ends, counted);
+	const observer = createObserver(ends, observations);
 	let submitted = 0;
-	const submit = (body = 'work'): RememberingSink => {
+	const submit = (body = 'work'): CapturingSink => {
 		submitted++;
-		const sink = new RememberingSink();
+		const sink = new CapturingSink();
 		const call = createCall(`request-${submitted}` as RequestId, plan, body, timers.getNow());
 		journal.open(call.id, { service: 'bookings', organisation: 'harbour-hotel', requestClass: 'normal' }, 0);
 		const run = new RequestRun(call, new RequestLife(), sink, journal, timers, observer);
-		run.life.send(RequestEvent.AcceptHead);
+		run.lifecycle.send(RequestEvent.AcceptHead);
 		run.setAbandonHandler(() => {
 			runner.abandon(run);
 		});
@@ -194,14 +198,25 @@
 	const waitForPromises = async (): Promise<void> => {
 		await new Promise(resolve => setImmediate(resolve));
 	};
-	return { timers, runner, attempts, renewed, dead, toldAfter, ends, counted, submit, waitForPromises };
+	return {
+		timers,
+		runner,
+		attempts,
+		renewedTargets,
+		crashedTargets,
+		attemptCountsWhenShared,
+		ends,
+		observations,
+		submit,
+		waitForPromises,
+	};
 }
 
-function createObserver(ends: RequestEnd[], counted: string[]): IRunObserver {
+function createObserver(ends: RequestEnd[], observations: string[]): IRunObserver {
 	return {
-		noteQueueWait: (_, waitedMs) => counted.push(`waited ${waitedMs}`),
-		noteAttemptEnd: (_, end) => counted.push(`attempt ${end}`),
-		noteGap: (_, gapMs) => counted.push(`gap ${gapMs}`),
+		noteQueueWait: (_, waitedMs) => observations.push(`waited ${waitedMs}`),
+		noteAttemptEnd: (_, end) => observations.push(`attempt ${end}`),
+		noteAnswerGap: (_, gapMs) => observations.push(`gap ${gapMs}`),
 		noteEnd: (_, end) => ends.push(end),
 	};
 }
@@ -229,14 +244,14 @@
 	};
 }
 
-/** The attempt's own id, as it was sent to the target. */
-export function getAttemptId(attempt: SeenAttempt): string {
+/** Returns the attempt id that was sent to the target. */
+export function getAttemptId(attempt: CapturedAttempt): string {
 	return attempt.request.lines.find(line => line.name === 'anvilroad-attempt')?.value ?? '';
 }
 
-/** Answers an attempt with one chunk; `status` and headers as given. */
+/** Sends the head and one chunk of an answer. */
 export function beginAnswer(
-	attempt: SeenAttempt,
+	attempt: CapturedAttempt,
 	text: string,
 	more: { status?: number; lines?: AnswerHead['lines'] } = {},
 ): void {
--- a/src/entry/node/requests/ticketRouter.ts
+++ b/src/entry/node/requests/ticketRouter.ts
@@ -1,6 +1,7 @@
 /**
- * Where a call with a ticket goes: to the ledger where this boot issued the ticket, to the entry that did,
- * or nowhere. What became of each ticket is counted here.
+ * Routes calls with a ticket, which makes a request run at most once. The ledger of this entry handles tickets
+ * that were issued since the entry started. Calls with other tickets are forwarded to the entry that issued the
+ * ticket, or refused. The result of each ticket is counted here.
  */
 
 import type { ITimerService } from '../../../base/common/timerService';
@@ -19,46 +20,46 @@
 import { ForwardEndKind } from '../peers/forwardRun';
 import type { TicketService } from '../tickets/ticketService';
 import { RecordingSink } from './recordingSink';
-import type { IRouterSurroundings } from './requestRouter';
+import type { IRouterContext } from './requestRouter';
 import type { AcceptedCall, RequestRun } from './requestRun';
 
-/** Opens runs and carries them to other entries. */
-export interface ITicketCarrier {
+/** Creates request runs and forwards them to other entries. */
+export interface IRequestForwarder {
 	openRun(call: AcceptedCall, sink: IAnswerSink): RequestRun;
 	forward(run: RequestRun, way: ForwardWay): Promise<ForwardEnd>;
 }
 
-/** Sends each call with a ticket on its way. */
+/** Routes calls with a ticket. */
 export class TicketRouter {
 	constructor(
-		private readonly surroundings: Pick<IRouterSurroundings, 'findPeer' | 'getRunner' | 'noteTicket'>,
+		private readonly context: Pick<IRouterContext, 'findPeer' | 'getRunner' | 'noteTicket'>,
 		private readonly tickets: TicketService,
-		private readonly carrier: ITicketCarrier,
+		private readonly forwarder: IRequestForwarder,
 		private readonly timers: ITimerService,
 	) {}
 
-	take(
+	dispatch(
 		call: AcceptedCall,
 		ticketText: string,
 		sink: IAnswerSink,
-		freshRefusal: RequestError | undefined,
+		newTicketRefusal: RequestError | undefined,
 	): void {
 		const route = this.tickets.findRoute(ticketText, call.origin !== undefined);
 		if (route.isErr()) {
-			this.surroundings.noteTicket(TicketResult.Rejected);
-			this.carrier.openRun(call, sink).fail(route.error);
+			this.context.noteTicket(TicketResult.Rejected);
+			this.forwarder.openRun(call, sink).fail(route.error);
 			return;
 		}
 		switch (route.value.kind) {
 			case TicketRouteKind.Own:
-				this.receiveTicket(call, ticketText, sink, freshRefusal);
+				this.receiveTicket(call, ticketText, sink, newTicketRefusal);
 				return;
 			case TicketRouteKind.Forward:
-				void this.sendToIssuer(this.carrier.openRun(call, sink), route.value.to);
+				void this.sendToIssuer(this.forwarder.openRun(call, sink), route.value.to);
 				return;
 			case TicketRouteKind.Refuse:
-				this.surroundings.noteTicket(TicketResult.Rejected);
-				this.carrier.openRun(call, sink).fail(route.value.error);
+				this.context.noteTicket(TicketResult.Rejected);
+				this.forwarder.openRun(call, sink).fail(route.value.error);
 				return;
 		}
 	}
@@ -67,27 +68,27 @@
 		call: AcceptedCall,
 		ticketText: string,
 		sink: IAnswerSink,
-		freshRefusal: RequestError | undefined,
+		newTicketRefusal: RequestError | undefined,
 	): void {
 		const decision = this.tickets.receive(ticketText, call, this.timers.getNow());
 		switch (decision.kind) {
 			case ReceiveKind.Run:
-				this.runTicketed(call, decision.run, sink, freshRefusal);
+				this.runTicketed(call, decision.run, sink, newTicketRefusal);
 				return;
 			case ReceiveKind.Join:
-				this.surroundings.noteTicket(TicketResult.Joined);
-				this.join(this.carrier.openRun(call, sink), decision.run);
+				this.context.noteTicket(TicketResult.Joined);
+				this.join(this.forwarder.openRun(call, sink), decision.run);
 				return;
 			case ReceiveKind.Replay: {
-				this.surroundings.noteTicket(TicketResult.Replayed);
-				const run = this.carrier.openRun(call, sink);
-				run.life.send(RequestEvent.Replay);
-				sendKept(run, decision.answer);
+				this.context.noteTicket(TicketResult.Replayed);
+				const run = this.forwarder.openRun(call, sink);
+				run.lifecycle.send(RequestEvent.Replay);
+				sendKeptAnswer(run, decision.answer);
 				return;
 			}
 			case ReceiveKind.Refuse:
-				this.surroundings.noteTicket(describeRefusal(decision.error));
-				this.carrier.openRun(call, sink).fail(decision.error);
+				this.context.noteTicket(getRefusalResult(decision.error));
+				this.forwarder.openRun(call, sink).fail(decision.error);
 				return;
 		}
 	}
@@ -96,23 +97,28 @@
 		call: AcceptedCall,
 		ticketRun: TicketRun,
 		sink: IAnswerSink,
-		freshRefusal: RequestError | undefined,
+		newTicketRefusal: RequestError | undefined,
 	): void {
 		ticketRun.waitForEnd(end => {
-			this.surroundings.noteTicket(describeEnd(end));
+			this.context.noteTicket(getEndResult(end));
 		});
-		const run = this.carrier.openRun(call, new RecordingSink(sink, ticketRun));
-		if (freshRefusal !== undefined) {
-			run.fail(freshRefusal);
+		const run = this.forwarder.openRun(call, new RecordingSink(sink, ticketRun));
+		if (newTicketRefusal !== undefined) {
+			run.fail(newTicketRefusal);
 			return;
 		}
-		this.surroundings.getRunner(call.head.service).submit(run);
+		this.context.getRunner(call.head.service).submit(run);
 	}
 
 	private join(run: RequestRun, ticketRun: TicketRun): void {
-		run.life.send(RequestEvent.Join);
+		run.lifecycle.send(RequestEvent.Join);
 		const deadline = this.timers.schedule(run.getRemainingMs(), () => {
-			run.fail(createRequestError(ErrorKind.DeadlineExceeded, 'an earlier send is still running'));
+			run.fail(
+				createRequestError(
+					ErrorKind.DeadlineExceeded,
+					'an earlier request with this ticket is still running',
+				),
+			);
 		});
 		const waiting = ticketRun.waitForEnd(end => {
 			deadline.dispose();
@@ -125,24 +131,29 @@
 		});
 	}
 
-	/** Only the issuer can say `not-run` of its tickets; what this entry itself finds is `unknown`. */
+	/** Only the issuer can confirm `not-run` for its tickets; errors found by this entry are `unknown`. */
 	private async sendToIssuer(run: RequestRun, issuer: InstanceId): Promise<void> {
-		const peer = this.surroundings.findPeer(issuer);
-		this.surroundings.noteTicket(peer === undefined ? TicketResult.Rejected : TicketResult.Forwarded);
+		const peer = this.context.findPeer(issuer);
+		this.context.noteTicket(peer === undefined ? TicketResult.Rejected : TicketResult.Forwarded);
 		if (peer === undefined) {
-			run.fail(createRequestError(ErrorKind.TicketIssuerGone, `${issuer} is not in view`));
+			run.fail(
+				createRequestError(
+					ErrorKind.TicketIssuerGone,
+					`${issuer}, which issued the ticket, is not a known peer`,
+				),
+			);
 			return;
 		}
-		const end = await this.carrier.forward(run, { to: issuer, peer, reason: 'it issued the ticket' });
+		const end = await this.forwarder.forward(run, { to: issuer, peer, reason: 'issuer of the ticket' });
 		if (end.error === undefined || run.hasEnded()) {
 			return;
 		}
-		const isIssuersWord = end.kind === ForwardEndKind.Refused;
-		run.fail(isIssuersWord ? end.error : createIssuerFault(end.error));
+		const isRefusedByIssuer = end.kind === ForwardEndKind.Refused;
+		run.fail(isRefusedByIssuer ? end.error : createIssuerError(end.error));
 	}
 }
 
-const ticketKinds: ReadonlySet<ErrorKind> = new Set([
+const ticketErrorKinds: ReadonlySet<ErrorKind> = new Set([
 	ErrorKind.TicketExpired,
 	ErrorKind.TicketForged,
 	ErrorKind.TicketReused,
@@ -151,17 +162,18 @@
 	ErrorKind.EntryFull,
 ]);
 
-/** The ledger refuses with a fault of the ticket itself, or gives the refusal of the ticket's one run again. */
-function describeRefusal({ kind }: RequestError): TicketResult {
-	return ticketKinds.has(kind) ? TicketResult.Rejected : TicketResult.Replayed;
+/** The ledger refuses a call because of an error of the ticket, or repeats the refusal of its first request. */
+function getRefusalResult({ kind }: RequestError): TicketResult {
+	return ticketErrorKinds.has(kind) ? TicketResult.Rejected : TicketResult.Replayed;
 }
 
-function describeEnd(end: RunEnd): TicketResult {
+function getEndResult(end: RunEnd): TicketResult {
 	const isUnrun = end.kind === RunEndKind.Failed && getOutcomeOf(end.error) === Outcome.NotRun;
 	return isUnrun ? TicketResult.Refused : TicketResult.Spent;
 }
 
-function createIssuerFault(error: RequestError): RequestError {
+/** Marks an error of forwarding as `unknown`, because the issuer may have run the request. */
+function createIssuerError(error: RequestError): RequestError {
 	const isUnreachable = error.kind === ErrorKind.PeerUnreachable;
 	return { ...error, kind: isUnreachable ? ErrorKind.TicketIssuerGone : error.kind, isOutcomeUnknown: true };
 }
@@ -172,22 +184,22 @@
 	}
 	if (end.kind === RunEndKind.Failed) {
 		if (getOutcomeOf(end.error) === Outcome.NotRun) {
-			run.life.send(RequestEvent.RunRefused);
+			run.lifecycle.send(RequestEvent.RunRefused);
 		}
 		run.fail(end.error);
 		return;
 	}
 	if (end.answer === undefined) {
-		run.fail(createRequestError(ErrorKind.TicketAnswerGone, 'the answer was too large to be kept'));
+		run.fail(createRequestError(ErrorKind.TicketAnswerGone, 'the answer was too large to be stored'));
 		return;
 	}
-	run.life.send(RequestEvent.FirstByte);
-	sendKept(run, end.answer);
+	run.lifecycle.send(RequestEvent.FirstByte);
+	sendKeptAnswer(run, end.answer);
 }
 
-/** Delivers a kept answer; the request's chart stands at `answering`. */
-function sendKept(run: RequestRun, answer: KeptAnswer): void {
-	run.beginKept({
+/** Sends a stored answer. The request's state machine must be in the state `answering`. */
+function sendKeptAnswer(run: RequestRun, answer: KeptAnswer): void {
+	run.beginKeptAnswer({
 		status: answer.status,
 		lines: answer.headers.map(([name, value]) => ({ name, value })),
 	});
--- a/src/entry/node/targets/discoveredTargetRegistry.ts
+++ b/src/entry/node/targets/discoveredTargetRegistry.ts
@@ -1,7 +1,7 @@
 /**
  * The targets of this entry's region that registered themselves with the platform: their connections, and
- * what their registrations and the evacuations of zones allow. How well they work is not looked at here; the
- * scheduler learns it from their answers.
+ * whether they may be used according to their registrations and the evacuations of zones. Their health is not
+ * tracked here: the scheduler derives it from their answers.
  */
 
 import { connect } from 'node:net';
@@ -17,18 +17,19 @@
 import type { SchedulableTarget } from '../../common/scheduling/serviceScheduler';
 import type { IndexedManifest } from '../manifest/manifestKeeper';
 import { TargetClient } from './targetClient';
-import type { DescribedTarget, EntrySharing, ITargetRegistry } from './targetDirectory';
-import type { Place } from './targetRegistry';
+import type { EntrySharing, ITargetRegistry, TargetSummary } from './targetDirectory';
+import type { EntryLocation } from './targetRegistry';
 
-/** A target that has not taken a connection by then is slow or cut off, and a caller is waiting. */
-const deathTimeoutMs = 300;
-/** Codes of a port that nobody listens on. */
-const deathCodes: ReadonlySet<string> = new Set(['ECONNREFUSED', 'ECONNRESET']);
-/** How often removals that were held back are looked at, in milliseconds. */
-const expiryMs = 250;
+/** Kept short because a caller is waiting. A target that has not accepted by then may be slow or unreachable. */
+const connectTimeoutMs = 300;
+/** Error codes of a connection to a port that no process listens on. */
+const portClosedCodes: ReadonlySet<string> = new Set(['ECONNREFUSED', 'ECONNRESET']);
+/** Interval at which removals that were delayed by an outage of the store are checked. */
+const expiryCheckIntervalMs = 250;
 
 interface OpenClient {
 	readonly client: TargetClient;
+	/** The start of the target process that the connections belong to. */
 	readonly generation: number;
 }
 
@@ -41,19 +42,19 @@
 	readonly onDidChange: Stream<ServiceName> = this.changes.stream;
 
 	constructor(
-		private readonly place: Place,
+		private readonly location: EntryLocation,
 		private readonly discovery: Discovery,
 		private readonly timers: ITimerService,
 	) {
 		super();
 		this.register(
 			subscribeTo(discovery.onDidChange, () => {
-				this.setClients();
-				this.emitAll();
+				this.updateClients();
+				this.emitAllServices();
 			}),
 		);
 		this.register(
-			subscribeTo(timers.watchTicks(expiryMs), ({ nowMs }) => {
+			subscribeTo(timers.watchTicks(expiryCheckIntervalMs), ({ nowMs }) => {
 				discovery.expire(nowMs);
 			}),
 		);
@@ -68,15 +69,15 @@
 
 	setManifest({ accepted }: IndexedManifest): void {
 		this.services = accepted.manifest.services.map(({ name }) => name);
-		this.emitAll();
+		this.emitAllServices();
 	}
 
 	listSchedulable(service: ManifestService, { entries, place }: EntrySharing): readonly SchedulableTarget[] {
 		const { warmUp, promptCache } = service;
-		return this.listKnown(service.name).map(({ target, coldUntilMs, endsMs, generation }) => ({
+		return this.listLocalTargets(service.name).map(({ target, coldUntilMs, endsMs, generation }) => ({
 			id: target.id,
 			zone: target.zone,
-			isSameZone: target.zone === this.place.zone,
+			isSameZone: target.zone === this.location.zone,
 			slots: target.slots,
 			share: 1 / entries,
 			isLeaving: !this.isUsable(target),
@@ -92,9 +93,9 @@
 		}));
 	}
 
-	listDescribed(service: ServiceName): readonly DescribedTarget[] {
+	listSummaries(service: ServiceName): readonly TargetSummary[] {
 		const nowMs = this.timers.getNow();
-		return this.listKnown(service).map(known => ({
+		return this.listLocalTargets(service).map(known => ({
 			id: known.target.id,
 			zone: known.target.zone,
 			state: this.describeState(known, nowMs),
@@ -127,28 +128,28 @@
 
 	findOwnerRegion(
 		service: ServiceName,
-		partId: string,
-		allowed: ReadonlySet<RegionName> | undefined,
+		sharedPartId: string,
+		allowedRegions: ReadonlySet<RegionName> | undefined,
 	): RegionName | undefined {
 		const usable = this.discovery
 			.list()
 			.filter(({ target }) => target.service === service && this.isUsable(target))
-			.filter(({ target }) => allowed?.has(target.region) !== false)
+			.filter(({ target }) => allowedRegions?.has(target.region) !== false)
 			.map(({ target }) => ({ id: target.id, idHash: computeTextHash(target.id), region: target.region }));
-		return findBestRanked(usable, partId, 1)[0]?.region;
+		return findBestRanked(usable, sharedPartId, 1)[0]?.region;
 	}
 
-	async probeDeath(target: TargetId): Promise<boolean> {
+	async probeForCrash(target: TargetId): Promise<boolean> {
 		const url = this.discovery.find(target)?.target.url;
 		return url !== undefined && (await isPortClosed(new URL(url)));
 	}
 
-	/** Registrations are read by every entry itself. */
-	notePeerWords(): void {
+	/** Does nothing: every entry reads the registrations itself. */
+	noteLeavingReportedByPeer(): void {
 		return;
 	}
 
-	listLeavingByOwnWord(): readonly TargetId[] {
+	listSelfReportedLeaving(): readonly TargetId[] {
 		return [];
 	}
 
@@ -156,10 +157,10 @@
 		return !isLeaving && !this.discovery.isEvacuated(zone);
 	}
 
-	private listKnown(service: ServiceName): readonly KnownTarget[] {
+	private listLocalTargets(service: ServiceName): readonly KnownTarget[] {
 		return this.discovery
 			.list()
-			.filter(({ target }) => target.service === service && target.region === this.place.region);
+			.filter(({ target }) => target.service === service && target.region === this.location.region);
 	}
 
 	private describeState({ target, coldUntilMs }: KnownTarget, nowMs: number): string {
@@ -172,8 +173,8 @@
 		return nowMs < coldUntilMs ? 'cold' : 'live';
 	}
 
-	/** Another start of a target has none of the old connections. */
-	private setClients(): void {
+	/** Connections belong to one start of the target process, so a restarted target gets a new client. */
+	private updateClients(): void {
 		for (const [id, { client, generation }] of [...this.clients]) {
 			if (this.discovery.find(id)?.generation !== generation) {
 				this.clients.delete(id);
@@ -181,23 +182,23 @@
 			}
 		}
 		for (const { target, generation } of this.discovery.list()) {
-			if (target.region === this.place.region && !this.clients.has(target.id)) {
+			if (target.region === this.location.region && !this.clients.has(target.id)) {
 				this.clients.set(target.id, { client: new TargetClient(target.url), generation });
 			}
 		}
 	}
 
-	private emitAll(): void {
+	private emitAllServices(): void {
 		for (const service of this.services) {
 			this.changes.emit(service);
 		}
 	}
 }
 
-/** Whether nobody listens on a port any more. */
+/** Whether no process listens on the port any more. */
 async function isPortClosed({ hostname, port }: URL): Promise<boolean> {
 	return new Promise(resolve => {
-		const socket = connect({ host: hostname, port: Number(port), timeout: deathTimeoutMs });
+		const socket = connect({ host: hostname, port: Number(port), timeout: connectTimeoutMs });
 		const finish = (isClosed: boolean): void => {
 			socket.destroy();
 			resolve(isClosed);
@@ -209,7 +210,7 @@
 			finish(false);
 		});
 		socket.once('error', (error: NodeJS.ErrnoException) => {
-			finish(deathCodes.has(error.code ?? ''));
+			finish(portClosedCodes.has(error.code ?? ''));
 		});
 	});
 }
--- a/src/entry/node/targets/targetClient.ts
+++ b/src/entry/node/targets/targetClient.ts
@@ -1,13 +1,13 @@
 /**
- * Sends one attempt to one target and tells what becomes of it. The one thing that must be exact here is
- * the moment from which the target may have run the request: `noteHandedOver` is called before the first
- * byte of the head is written to a socket, and an error without it means that no byte left.
+ * Sends one attempt to one target and reports its progress and result. The moment from which the target may
+ * have run the request must be exact: `noteHandedOver` is called before the first byte of the head is written
+ * to a socket, and an error without this call means that no byte was sent.
  *
- * An answer without a length ends with its connection, and a reset looks to the library like that end: it
- * would hand on a piece as the whole. So each connection remembers whether it was reset.
+ * An answer without a length ends when its connection closes. undici treats a connection reset as that end and
+ * would deliver a truncated answer as complete, so each connection records whether it was reset.
  *
- * Pipelining is off. With it, undici would send the requests that wait behind a broken answer again by
- * itself, on a new connection and without asking; an at-most-once call could run twice.
+ * Pipelining is off. Otherwise undici would resend the requests queued behind a failed answer on a new
+ * connection, without notice, and an at-most-once call could run twice.
  */
 
 import type { Socket } from 'node:net';
@@ -16,7 +16,7 @@
 import type { AnswerHead } from '../../common/callers/answerSink';
 import type { HeaderLine } from '../../common/callers/callHead';
 
-/** What is sent. */
+/** The HTTP request of an attempt. */
 export interface AttemptRequest {
 	readonly method: string;
 	readonly path: string;
@@ -24,39 +24,39 @@
 	readonly body: Uint8Array;
 }
 
-/** What an attempt tells, in this order; after `noteEnded` or `noteBroken` nothing more comes. */
+/** Receives the events of an attempt, in this order. `noteCompleted` or `noteFailed` is the last one. */
 export interface IAttemptObserver {
 	noteHandedOver(): void;
 	receiveHead(head: AnswerHead): void;
-	/** Gives false to hold the target back until `resume`. */
+	/** Returns false to pause reading from the target until `resume` is called. */
 	receiveData(chunk: Uint8Array): boolean;
-	noteEnded(): void;
-	noteBroken(error: Error): void;
+	noteCompleted(): void;
+	noteFailed(error: Error): void;
 }
 
-/** A running attempt. */
+/** Controls an attempt that was sent. */
 export interface IAttempt {
 	resume(): void;
-	/** Closes the attempt's connection; an abandoned answer must never be read by a later request. */
+	/** Closes the attempt's connection, so that no later request can read the rest of its answer. */
 	cancel(reason: string): void;
-	/** Reads the rest of a short answer and drops it, so that its connection can be used again. */
+	/** Reads and discards the rest of a short answer, so that its connection can be reused. */
 	release(): void;
 }
 
 const connectTimeoutMs = 2_000;
 const keepAliveMs = 20_000;
-/** Silence is timed by class in the request's own run, so the library's timers stay out of it. */
-const noTimeout = 0;
+/** undici's timeouts are disabled: each attempt applies the timeouts of its request class itself. */
+const timeoutDisabled = 0;
 
 /** Sends attempts to one target. */
 export interface ITargetClient {
-	/** Starts an attempt; the observer hears of it from the next turn of the loop on. */
+	/** Starts an attempt. The observer is called from the next turn of the event loop at the earliest. */
 	send(request: AttemptRequest, observer: IAttemptObserver): IAttempt;
-	/** Leaves every present connection behind; attempts that run on one end there. */
+	/** Replaces all open connections. Attempts that are running on one of them finish there. */
 	renewConnections(): void;
 }
 
-/** The connections to one target. */
+/** A connection pool for one target. */
 export class TargetClient implements ITargetClient {
 	private pool: Pool;
 
@@ -66,11 +66,11 @@
 
 	send(request: AttemptRequest, observer: IAttemptObserver): IAttempt {
 		const attempt = new Attempt(observer);
-		const options: WatchedOptions = {
+		const options: AttemptDispatchOptions = {
 			attempt,
 			method: request.method,
 			path: request.path,
-			headers: flattenLines(request.lines),
+			headers: flattenHeaders(request.lines),
 			body:
 				request.body.byteLength === 0
 					? null
@@ -82,9 +82,9 @@
 	}
 
 	/**
-	 * Leaves every present connection behind. Something between the two ends can lose track of open
-	 * connections: they stay silent for good while new ones work. One silent connection is therefore taken
-	 * as a sign against all that were opened with it, and not against the target.
+	 * Replaces all open connections. A middlebox can lose the state of open connections, which then stay
+	 * unresponsive forever while new ones work. One unresponsive connection therefore makes all connections of
+	 * the pool suspect, but not the target itself.
 	 */
 	renewConnections(): void {
 		const old = this.pool;
@@ -101,45 +101,45 @@
 			pipelining: 1,
 			connections: null,
 			keepAliveTimeout: keepAliveMs,
-			headersTimeout: noTimeout,
-			bodyTimeout: noTimeout,
-			factory: (origin, options: Client.Options) => new WatchedClient(origin, options),
+			headersTimeout: timeoutDisabled,
+			bodyTimeout: timeoutDisabled,
+			factory: (origin, options: Client.Options) => new ResetTrackingClient(origin, options),
 		});
 	}
 }
 
-function flattenLines(lines: readonly HeaderLine[]): string[] {
+function flattenHeaders(lines: readonly HeaderLine[]): string[] {
 	return lines.flatMap(line => [line.name, line.value]);
 }
 
-/** The pool wraps the handler of an attempt, but hands its options on to the connection as they are. */
-interface WatchedOptions extends Dispatcher.DispatchOptions {
+/** Carries the attempt to the client of the connection: the pool wraps the handler but passes options unchanged. */
+interface AttemptDispatchOptions extends Dispatcher.DispatchOptions {
 	readonly attempt?: Attempt;
 }
 
-/** One connection at a time, with what became of it. */
+/** The state of the current connection of a client. */
 interface ConnectionState {
 	wasReset: boolean;
 }
 
-/** Carries one attempt at a time, and tells it how its connection ended. */
-class WatchedClient extends Client {
+/** Runs one attempt at a time, and gives each attempt access to the state of its connection. */
+class ResetTrackingClient extends Client {
 	private readonly state: ConnectionState;
 
 	constructor(origin: string | URL, options: Client.Options) {
 		const state = { wasReset: false };
-		super(origin, { ...options, connect: createWatchedConnector(state) });
+		super(origin, { ...options, connect: createResetTrackingConnector(state) });
 		this.state = state;
 	}
 
-	override dispatch(options: WatchedOptions, handler: Dispatcher.DispatchHandler): boolean {
+	override dispatch(options: AttemptDispatchOptions, handler: Dispatcher.DispatchHandler): boolean {
 		options.attempt?.setConnection(this.state);
 		return super.dispatch(options, handler);
 	}
 }
 
-/** The error is noted before the library, which listens later, can take it for an end. */
-function createWatchedConnector(state: ConnectionState): buildConnector.connector {
+/** Registers its error listener before undici does, so that a reset is recorded before undici sees an end. */
+function createResetTrackingConnector(state: ConnectionState): buildConnector.connector {
 	const connect = buildConnector({ timeout: connectTimeoutMs });
 	return (options, callback) => {
 		connect(options, (...result) => {
@@ -153,6 +153,7 @@
 	};
 }
 
+/** Translates the events of undici into those of the attempt's observer. */
 class Attempt implements IAttempt, Dispatcher.DispatchHandler {
 	private connection: ConnectionState | undefined;
 	private controller: Dispatcher.DispatchController | undefined;
@@ -200,7 +201,7 @@
 		this.controller = controller;
 		const isFramed =
 			answerHeaders['content-length'] !== undefined || answerHeaders['transfer-encoding'] !== undefined;
-		const lines = listLines(answerHeaders);
+		const lines = listHeaderLines(answerHeaders);
 		this.observer.receiveHead({ status: statusCode, lines, endsWithConnection: !isFramed });
 	}
 
@@ -220,21 +221,21 @@
 		}
 		this.isOver = true;
 		if (this.connection?.wasReset === true) {
-			this.observer.noteBroken(new Error('the connection was reset before the end of the answer'));
+			this.observer.noteFailed(new Error('the connection was reset before the end of the answer'));
 			return;
 		}
-		this.observer.noteEnded();
+		this.observer.noteCompleted();
 	}
 
 	onResponseError(_controller: Dispatcher.DispatchController, error: Error): void {
 		if (!this.isOver) {
 			this.isOver = true;
-			this.observer.noteBroken(error);
+			this.observer.noteFailed(error);
 		}
 	}
 }
 
-function listLines(answerHeaders: Record<string, string | string[] | undefined>): HeaderLine[] {
+function listHeaderLines(answerHeaders: Record<string, string | string[] | undefined>): HeaderLine[] {
 	return Object.entries(answerHeaders).flatMap(([name, value]) => {
 		if (value === undefined) {
 			return [];
--- a/src/entry/node/targets/targetDirectory.ts
+++ b/src/entry/node/targets/targetDirectory.ts
@@ -1,5 +1,6 @@
 /**
- * What those who run requests need of the targets.
+ * The interfaces through which request handling and the operator views access the targets of a region: their
+ * clients, addresses and states.
  */
 
 import type { Stream } from 'most';
@@ -14,61 +15,61 @@
 import type { RequestRun } from '../requests/requestRun';
 import type { ITargetClient } from './targetClient';
 
-/** Finds a target's client, and hears what attempts learn of the target. */
+/** Looks up the client of a target, and receives what attempts observe about the target. */
 export interface ITargetDirectory {
 	findClient(target: TargetId): ITargetClient | undefined;
-	/** The IP number and port of a target. */
+	/** The host and port of a target. */
 	findAddress(target: TargetId): string | undefined;
-	/** An answer's head: it may say that the target is leaving. */
+	/** Records the head of an answer, which may announce that the target is shutting down (leaving). */
 	noteAnswerHead(target: TargetId, head: AnswerHead, reading: AnswerReading): void;
-	/** An attempt ended; connections that fail are a sign about the target. */
+	/** Records how an attempt ended. Failed connections count against the target. */
 	noteAttemptEnd(target: TargetId, end: AttemptEnd, run: RequestRun): void;
 }
 
-/** A target as operators see it. */
-export interface DescribedTarget {
+/** The state of a target as shown to operators. */
+export interface TargetSummary {
 	readonly id: TargetId;
 	readonly zone: ZoneName;
-	/** The state of its life. */
+	/** The lifecycle state. */
 	readonly state: string;
-	/** What led to that state; empty where it never changed. */
+	/** The signal that caused the last state change; empty if the state has never changed. */
 	readonly lastSign: string;
 }
 
 /** How the entries of a region share its targets. */
 export interface EntrySharing {
-	/** Live entries, this one included. */
+	/** Number of live entries, including this one. */
 	readonly entries: number;
-	/** The place of this one among them by their ids, from 0. */
+	/** Index of this entry among the live entries, ordered by id and starting at 0. */
 	readonly place: number;
 }
 
-/** Owns the connections and the lives of the region's targets. */
+/** Owns the connections to the region's targets and tracks their lifecycle states. */
 export interface ITargetRegistry extends ITargetDirectory, IDisposable {
-	/** A service whose targets, or their usability, changed. */
+	/** Emits the name of a service when its list of targets or the usability of one of them changes. */
 	readonly onDidChange: Stream<ServiceName>;
 	setManifest(manifest: IndexedManifest): void;
-	/** The service's targets in this region, as its scheduler sees them. */
+	/** Lists the service's targets in this region as input for its scheduler. */
 	listSchedulable(service: ManifestService, sharing: EntrySharing): readonly SchedulableTarget[];
-	listDescribed(service: ServiceName): readonly DescribedTarget[];
+	listSummaries(service: ServiceName): readonly TargetSummary[];
 	/**
-	 * Whether a region may have targets in use. What an entry there said of its room is some seconds old; a zone
-	 * that was evacuated since would go on being sent requests.
+	 * Whether a region may have usable targets for the service. The capacity that an entry there reported is some
+	 * seconds old, so without this check requests would still be sent to a zone that was evacuated since.
 	 */
 	isServed(service: ServiceName, region: RegionName): boolean;
 	/**
-	 * The region of the target that comes first for a shared part, of all regions or of those allowed;
-	 * undefined where targets of other regions are not known.
+	 * Finds the region of the target that ranks highest for a shared prompt part, among the allowed regions or,
+	 * if none are given, among all. Undefined if the targets of other regions are not known.
 	 */
 	findOwnerRegion(
 		service: ServiceName,
-		partId: string,
-		allowed: ReadonlySet<RegionName> | undefined,
+		sharedPartId: string,
+		allowedRegions: ReadonlySet<RegionName> | undefined,
 	): RegionName | undefined;
-	/** Whether the target died, found out by a new connection. */
-	probeDeath(target: TargetId): Promise<boolean>;
-	/** Peers had it from targets that they are leaving. */
-	notePeerWords(targets: readonly TargetId[]): void;
-	/** Targets that told this entry itself that they are leaving. */
-	listLeavingByOwnWord(): readonly TargetId[];
+	/** Opens a new connection to the target to determine whether the target crashed. */
+	probeForCrash(target: TargetId): Promise<boolean>;
+	/** Records targets that announced to other entries that they are leaving. */
+	noteLeavingReportedByPeer(targets: readonly TargetId[]): void;
+	/** Lists the targets that announced to this entry directly that they are leaving. */
+	listSelfReportedLeaving(): readonly TargetId[];
 }
--- a/src/entry/node/targets/targetProbe.ts
+++ b/src/entry/node/targets/targetProbe.ts
@@ -1,26 +1,32 @@
 /**
- * Asks a target whether it is there, without a caller's request. Always on a new connection: an idle one
- * may be silent for good while new ones work.
+ * Probes a target independently of callers' requests. Each probe opens a new connection, because an idle
+ * connection can stay unresponsive forever while new ones work.
  */
 
 import { Client } from 'undici';
 import { headers } from '../../../core/headers/common/headers';
 
-/** What a target said to a probe. */
+/** The relevant parts of a target's answer to a probe. */
 export interface ProbeAnswer {
+	/** Whether the target announced that it is shutting down. */
 	readonly isLeaving: boolean;
-	/** Whether it wants the connection closed after the answer. */
-	readonly isClosing: boolean;
+	/** Whether the target asked to close the connection after this answer. */
+	readonly isClosingConnection: boolean;
 }
 
 const probeTimeoutMs = 2_000;
-/** A target that has not answered by then is slow or cut off, and a caller is waiting. */
-const deathTimeoutMs = 500;
-/** Refused, reset, or closed before an answer. */
-const deathCodes: ReadonlySet<string> = new Set(['ECONNREFUSED', 'ECONNRESET', 'EPIPE', 'UND_ERR_SOCKET']);
+/** Kept short because a caller is waiting. A target that has not answered by then may be slow or unreachable. */
+const downProbeTimeoutMs = 500;
+/** Error codes of a connection that was refused, reset, or closed before an answer. */
+const connectionClosedCodes: ReadonlySet<string> = new Set([
+	'ECONNREFUSED',
+	'ECONNRESET',
+	'EPIPE',
+	'UND_ERR_SOCKET',
+]);
 
 /** Whether a `Connection` header asks for the connection to be closed. */
-export function isClosing(connection: string | undefined): boolean {
+export function hasCloseOption(connection: string | undefined): boolean {
 	return (
 		connection
 			?.toLowerCase()
@@ -29,7 +35,7 @@
 	);
 }
 
-/** The target's answer, or undefined where none came in time. */
+/** Sends a probe and returns the target's answer, or undefined if none arrived in time. */
 export async function probeTarget(url: string): Promise<ProbeAnswer | undefined> {
 	const client = new Client(new URL(url).origin);
 	try {
@@ -42,7 +48,7 @@
 		await answer.body.dump();
 		return {
 			isLeaving: answer.headers[headers.targetLeaving] === '1',
-			isClosing: isClosing(String(answer.headers.connection ?? '')),
+			isClosingConnection: hasCloseOption(String(answer.headers.connection ?? '')),
 		};
 	} catch {
 		return undefined;
@@ -52,23 +58,24 @@
 }
 
 /**
- * Whether the target is gone: its port refuses a new connection, or one is accepted and closed again before
- * an answer, as by a relay whose far end refuses. A target that says nothing in time may be slow or cut
- * off, and is not taken for dead. A relay that is itself cut looks like a death behind it; requests that
- * were in flight there are then kept apart for a while, and refused only if it happens to them twice.
+ * Whether the target is down: a new connection is refused, or is accepted and then closed before an answer,
+ * as a TCP relay does when its upstream refuses the connection. A target that does not answer in time may be
+ * slow or unreachable and does not count as down. A relay that loses its own connection cannot be
+ * distinguished from a crashed target behind it. Requests in flight there are then isolated from each other
+ * for a while, and are refused only if it happens to them twice.
  */
-export async function isTargetDead(url: string): Promise<boolean> {
+export async function isTargetDown(url: string): Promise<boolean> {
 	const client = new Client(new URL(url).origin);
 	try {
 		const answer = await client.request({
 			path: '/',
 			method: 'HEAD',
-			signal: AbortSignal.timeout(deathTimeoutMs),
+			signal: AbortSignal.timeout(downProbeTimeoutMs),
 		});
 		await answer.body.dump();
 		return false;
 	} catch (error) {
-		return deathCodes.has((error as NodeJS.ErrnoException).code ?? '');
+		return connectionClosedCodes.has((error as NodeJS.ErrnoException).code ?? '');
 	} finally {
 		void client.destroy();
 	}
--- a/src/entry/node/targets/targetRegistry.ts
+++ b/src/entry/node/targets/targetRegistry.ts
@@ -1,6 +1,7 @@
 /**
- * The targets of this entry's region: their connections, their lives, and the probes that bring one back.
- * Whoever schedules requests is told whenever a service's list may have changed.
+ * The targets that the manifest lists for this entry's region: their connections, their lifecycle states, and
+ * the probes that return a failed target to use. Emits an event whenever the list of targets of a service may
+ * have changed.
  */
 
 import type { Stream } from 'most';
@@ -22,42 +23,42 @@
 import type { SchedulableTarget } from '../../common/scheduling/serviceScheduler';
 import { AttemptEnd } from '../../common/scheduling/serviceScheduler';
 import type { IndexedManifest } from '../manifest/manifestKeeper';
-import type { DescribedTarget, EntrySharing, ITargetRegistry } from './targetDirectory';
+import type { EntrySharing, ITargetRegistry, TargetSummary } from './targetDirectory';
 import { TargetClient } from './targetClient';
-import { isClosing, isTargetDead, probeTarget } from './targetProbe';
+import { hasCloseOption, isTargetDown, probeTarget } from './targetProbe';
 
-/** Where this entry stands. */
-export interface Place {
+/** The region and availability zone of this entry. */
+export interface EntryLocation {
 	readonly region: RegionName;
 	readonly zone: ZoneName;
 }
 
-const trialTickMs = 250;
+const probeCheckIntervalMs = 250;
 
-interface KnownTarget {
+interface OpenClient {
 	readonly url: string;
 	readonly client: TargetClient;
 }
 
-/** Owns the connections and the lives of the region's targets. */
+/** Owns the connections and lifecycle states of the targets that the manifest lists for the region. */
 export class TargetRegistry extends Disposable implements ITargetRegistry {
-	private readonly known = new Map<TargetId, KnownTarget>();
+	private readonly clients = new Map<TargetId, OpenClient>();
 	private readonly changes = this.register(new Channel<ServiceName>());
-	private readonly lives: TargetLives;
+	private readonly lifecycles: TargetLives;
 	private readonly lastSigns = new Map<string, string>();
 	private manifest: IndexedManifest | undefined;
-	private listed: ReadonlyMap<TargetId, ListedTarget> | undefined;
+	private listedTargets: ReadonlyMap<TargetId, ListedTarget> | undefined;
 
-	/** A service whose targets, or their usability, changed. */
+	/** Emits the name of a service when its list of targets or the usability of one of them changes. */
 	readonly onDidChange: Stream<ServiceName> = this.changes.stream;
 
 	constructor(
-		private readonly place: Place,
+		private readonly location: EntryLocation,
 		auditTrail: IAuditTrail,
 		private readonly timers: ITimerService,
 	) {
 		super();
-		this.lives = this.register(new TargetLives(auditTrail));
+		this.lifecycles = this.register(new TargetLives(auditTrail));
 		this.register(
 			subscribeTo(auditTrail.onDidRecord, ({ kind, subject, sign }) => {
 				if (kind === AuditKind.Target) {
@@ -66,18 +67,18 @@
 			}),
 		);
 		this.register(
-			subscribeTo(this.lives.onDidChange, target => {
-				this.emitChangeOf(target);
+			subscribeTo(this.lifecycles.onDidChange, target => {
+				this.emitServiceChange(target);
 			}),
 		);
 		this.register(
-			subscribeTo(timers.watchTicks(trialTickMs), ({ nowMs }) => {
-				this.startTrials(nowMs);
+			subscribeTo(timers.watchTicks(probeCheckIntervalMs), ({ nowMs }) => {
+				this.startDueProbes(nowMs);
 			}),
 		);
 		this.register(
 			toDisposable(() => {
-				for (const { client } of this.known.values()) {
+				for (const { client } of this.clients.values()) {
 					void client.close();
 				}
 			}),
@@ -87,151 +88,151 @@
 	setManifest(manifest: IndexedManifest): void {
 		this.manifest = manifest;
 		const { version, manifest: document } = manifest.accepted;
-		const own = document.targets.filter(target => target.region === this.place.region);
-		this.lives.setManifest(own, version, this.timers.getNow());
+		const localTargets = document.targets.filter(target => target.region === this.location.region);
+		this.lifecycles.setManifest(localTargets, version, this.timers.getNow());
 		this.applyInstanceList();
-		this.setClients(own);
+		this.updateClients(localTargets);
 		for (const service of document.services) {
 			this.changes.emit(service.name);
 		}
 	}
 
-	/** Kept for the targets that a later manifest names. */
+	/** Applies the platform's instance list, and keeps it for targets that a later manifest adds. */
 	setInstanceList({ targets }: Pick<InstanceList, 'targets'>): void {
-		this.listed = new Map(
+		this.listedTargets = new Map(
 			targets.map(({ id, boot, state }) => [id, { isLeaving: state === ListedState.Leaving, boot }]),
 		);
 		this.applyInstanceList();
 	}
 
-	notePeerWords(targets: readonly TargetId[]): void {
-		this.lives.notePeerWords(targets, this.timers.getNow());
+	noteLeavingReportedByPeer(targets: readonly TargetId[]): void {
+		this.lifecycles.notePeerWords(targets, this.timers.getNow());
 	}
 
-	listLeavingByOwnWord(): readonly TargetId[] {
-		return this.lives.listLeavingByOwnWord();
+	listSelfReportedLeaving(): readonly TargetId[] {
+		return this.lifecycles.listLeavingByOwnWord();
 	}
 
-	/** The service's targets in this region, as its scheduler sees them. */
+	/** Lists the service's targets in this region as input for its scheduler. */
 	listSchedulable(service: ManifestService, { entries }: EntrySharing): SchedulableTarget[] {
-		return this.listOf(service.name)
+		return this.listManifestTargets(service.name)
 			.filter(target => target.role === TargetRole.Serve)
 			.map(target => ({
 				id: target.id,
 				zone: target.zone,
-				isSameZone: target.zone === this.place.zone,
+				isSameZone: target.zone === this.location.zone,
 				slots: target.slots ?? service.slotsPerTarget,
 				share: 1 / entries,
-				isLeaving: !this.lives.isUsable(target.id),
+				isLeaving: !this.lifecycles.isUsable(target.id),
 			}));
 	}
 
-	listOf(service: ServiceName): readonly ManifestTarget[] {
-		return this.manifest?.index.listTargets(service, this.place.region) ?? [];
+	listManifestTargets(service: ServiceName): readonly ManifestTarget[] {
+		return this.manifest?.index.listTargets(service, this.location.region) ?? [];
 	}
 
-	listDescribed(service: ServiceName): readonly DescribedTarget[] {
-		return this.listOf(service).map(({ id, zone }) => ({
+	listSummaries(service: ServiceName): readonly TargetSummary[] {
+		return this.listManifestTargets(service).map(({ id, zone }) => ({
 			id,
 			zone,
-			state: this.lives.findLife(id)?.getState() ?? 'unknown',
+			state: this.lifecycles.findLife(id)?.getState() ?? 'unknown',
 			lastSign: this.lastSigns.get(id) ?? '',
 		}));
 	}
 
-	getLives(): TargetLives {
-		return this.lives;
+	getLifecycles(): TargetLives {
+		return this.lifecycles;
 	}
 
 	findClient(target: TargetId): TargetClient | undefined {
-		return this.known.get(target)?.client;
+		return this.clients.get(target)?.client;
 	}
 
 	findAddress(target: TargetId): string | undefined {
-		const url = this.known.get(target)?.url;
+		const url = this.clients.get(target)?.url;
 		return url === undefined ? undefined : new URL(url).host;
 	}
 
 	noteAnswerHead(target: TargetId, head: AnswerHead, { isLeaving }: Pick<AnswerReading, 'isLeaving'>): void {
-		const life = this.lives.findLife(target);
+		const lifecycle = this.lifecycles.findLife(target);
 		if (isLeaving) {
-			life?.noteOwnWord(this.timers.getNow());
+			lifecycle?.noteOwnWord(this.timers.getNow());
 			return;
 		}
-		life?.noteAnswer(isClosing(findHeader(head.lines, 'connection')), this.timers.getNow());
+		lifecycle?.noteAnswer(hasCloseOption(findHeader(head.lines, 'connection')), this.timers.getNow());
 	}
 
-	/** The targets of other regions are their entries' matter. */
+	/** Always true: the targets of another region are tracked only by the entries there. */
 	isServed(): boolean {
 		return true;
 	}
 
-	/** Each entry of the manifest's regions knows its own region's targets only. */
+	/** Always undefined: an entry tracks only the targets that the manifest lists for its own region. */
 	findOwnerRegion(): undefined {
 		return undefined;
 	}
 
-	/** Whether the target died, found out by a new connection. */
-	async probeDeath(target: TargetId): Promise<boolean> {
-		const url = this.known.get(target)?.url;
-		return url !== undefined && (await isTargetDead(url));
+	/** Opens a new connection to the target to determine whether the target crashed. */
+	async probeForCrash(target: TargetId): Promise<boolean> {
+		const url = this.clients.get(target)?.url;
+		return url !== undefined && (await isTargetDown(url));
 	}
 
 	noteAttemptEnd(target: TargetId, end: AttemptEnd): void {
 		if (end === AttemptEnd.NotConnected || end === AttemptEnd.Failed) {
-			this.lives.findLife(target)?.noteFailure(this.timers.getNow());
+			this.lifecycles.findLife(target)?.noteFailure(this.timers.getNow());
 		}
 	}
 
 	private applyInstanceList(): void {
-		if (this.listed !== undefined) {
-			this.lives.setInstanceList(this.listed, this.timers.getNow());
+		if (this.listedTargets !== undefined) {
+			this.lifecycles.setInstanceList(this.listedTargets, this.timers.getNow());
 		}
 	}
 
-	private setClients(targets: readonly ManifestTarget[]): void {
+	private updateClients(targets: readonly ManifestTarget[]): void {
 		const urls = new Map(targets.map(target => [target.id, target.url]));
-		for (const [id, { url, client }] of [...this.known]) {
+		for (const [id, { url, client }] of [...this.clients]) {
 			if (urls.get(id) !== url) {
-				this.known.delete(id);
+				this.clients.delete(id);
 				void client.close();
 			}
 		}
 		for (const { id, url } of targets) {
-			if (!this.known.has(id)) {
-				this.known.set(id, { url, client: new TargetClient(new URL(url).origin) });
+			if (!this.clients.has(id)) {
+				this.clients.set(id, { url, client: new TargetClient(new URL(url).origin) });
 			}
 		}
 	}
 
-	private emitChangeOf(target: TargetId): void {
+	private emitServiceChange(target: TargetId): void {
 		const service = this.manifest?.index.findTarget(target)?.service;
 		if (service !== undefined) {
 			this.changes.emit(service);
 		}
 	}
 
-	private startTrials(nowMs: number): void {
-		for (const target of this.lives.startTrials(nowMs)) {
+	private startDueProbes(nowMs: number): void {
+		for (const target of this.lifecycles.startTrials(nowMs)) {
 			void this.probe(target);
 		}
 	}
 
 	private async probe(target: TargetId): Promise<void> {
-		const url = this.known.get(target)?.url;
-		const life = this.lives.findLife(target);
-		if (url === undefined || life === undefined) {
+		const url = this.clients.get(target)?.url;
+		const lifecycle = this.lifecycles.findLife(target);
+		if (url === undefined || lifecycle === undefined) {
 			return;
 		}
 		const answer = await probeTarget(url);
 		if (answer === undefined) {
-			life.noteTrialFailed(this.timers.getNow());
+			lifecycle.noteTrialFailed(this.timers.getNow());
 			return;
 		}
 		if (answer.isLeaving) {
-			life.noteOwnWord(this.timers.getNow());
+			lifecycle.noteOwnWord(this.timers.getNow());
 			return;
 		}
-		life.noteTrialAnswered(answer.isClosing, this.timers.getNow());
+		lifecycle.noteTrialAnswered(answer.isClosingConnection, this.timers.getNow());
 	}
 }
--- a/src/entry/node/targets/test/targetClient.test.ts
+++ b/src/entry/node/targets/test/targetClient.test.ts
@@ -6,7 +6,7 @@
 interface RawTarget {
 	readonly server: Server;
 	readonly origin: string;
-	/** Request heads that arrived, over all connections. */
+	/** First lines of the request heads received on all connections. */
 	readonly heads: string[];
 }
 
@@ -24,7 +24,7 @@
 	return { server, origin: `http://127.0.0.1:${port}`, heads };
 }
 
-type Event = 'handed over' | 'head' | 'ended' | 'broken';
+type Event = 'handed over' | 'head' | 'completed' | 'failed';
 
 async function sendOnce(client: TargetClient, noteHead = (): void => undefined): Promise<Event[]> {
 	const events: Event[] = [];
@@ -36,12 +36,12 @@
 				noteHead();
 			},
 			receiveData: () => true,
-			noteEnded: () => {
-				events.push('ended');
+			noteCompleted: () => {
+				events.push('completed');
 				resolve(events);
 			},
-			noteBroken: () => {
-				events.push('broken');
+			noteFailed: () => {
+				events.push('failed');
 				resolve(events);
 			},
 		};
@@ -52,9 +52,9 @@
 const answer = 'HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok';
 
 describe('TargetClient', () => {
-	it('does not send again by itself when a reused connection is closed under a request', async () => {
-		// The target answers once, keeps the connection open, and closes it on the next request. Libraries
-		// often repeat such a request silently; a payment would then run twice and nobody would see a retry.
+	it('does not resend a request when its reused connection is closed', async () => {
+		// The target answers once, keeps the connection open, and closes it on the next request. HTTP client
+		// libraries often resend such a request silently. A payment would then run twice, with no visible retry.
 		const target = await openTarget((socket, requestNumber) => {
 			if (requestNumber === 1) {
 				socket.write(answer);
@@ -63,26 +63,26 @@
 			}
 		});
 		const client = new TargetClient(target.origin);
-		expect(await sendOnce(client)).toEqual(['handed over', 'head', 'ended']);
-		expect(await sendOnce(client)).toEqual(['handed over', 'broken']);
+		expect(await sendOnce(client)).toEqual(['handed over', 'head', 'completed']);
+		expect(await sendOnce(client)).toEqual(['handed over', 'failed']);
 		expect(target.heads).toHaveLength(2);
 		target.server.close();
 		await client.close();
 	});
 
-	it('does not tell of a hand-over where no connection could be opened', async () => {
-		// Nobody listens on the port. If this counted as handed over, the caller would be told "unknown" of a
-		// payment that provably never left.
+	it('does not report a hand-over if no connection could be opened', async () => {
+		// No process listens on the port. If this counted as handed over, the caller would receive the outcome
+		// "unknown" for a payment that was never sent.
 		const target = await openTarget(() => undefined);
 		await new Promise(resolve => target.server.close(resolve));
 		const client = new TargetClient(target.origin);
-		expect(await sendOnce(client)).toEqual(['broken']);
+		expect(await sendOnce(client)).toEqual(['failed']);
 		await client.close();
 	});
 
-	// A target answers without a length, as some do, and dies in the middle: the connection is reset. Taken for
-	// the end that such an answer has, the caller would hold a piece of a receipt for the whole.
-	it('does not take a reset for the end of an answer without a length', async () => {
+	// A target crashes while it sends an answer without a length, and the connection is reset. If the reset
+	// counted as the end of the answer, the caller would accept a truncated receipt as complete.
+	it('does not treat a reset as the end of an answer without a length', async () => {
 		let reset = (): void => undefined;
 		const target = await openTarget(socket => {
 			reset = () => {
@@ -94,23 +94,23 @@
 		const events = await sendOnce(client, () => {
 			reset();
 		});
-		expect(events).toEqual(['handed over', 'head', 'broken']);
+		expect(events).toEqual(['handed over', 'head', 'failed']);
 		target.server.close();
 		await client.close();
 	});
 
-	it('takes the close of a connection for the end of an answer without a length', async () => {
+	it('treats a closed connection as the end of an answer without a length', async () => {
 		const target = await openTarget(socket => {
 			socket.end('HTTP/1.1 200 OK\r\n\r\nwhole');
 		});
 		const client = new TargetClient(target.origin);
-		expect(await sendOnce(client)).toEqual(['handed over', 'head', 'ended']);
+		expect(await sendOnce(client)).toEqual(['handed over', 'head', 'completed']);
 		target.server.close();
 		await client.close();
 	});
 
-	it('never reuses the connection of an answer that was given up', async () => {
-		// The rest of an abandoned answer would be read as the beginning of the next one.
+	it('never reuses the connection of a cancelled answer', async () => {
+		// The rest of the cancelled answer would be read as the beginning of the next one.
 		const sockets = new Set<Socket>();
 		const target = await openTarget((socket, requestNumber) => {
 			sockets.add(socket);
@@ -128,12 +128,12 @@
 						resolve();
 						return true;
 					},
-					noteEnded: () => undefined,
-					noteBroken: () => undefined,
+					noteCompleted: () => undefined,
+					noteFailed: () => undefined,
 				},
 			);
 		});
-		expect(await sendOnce(client)).toEqual(['handed over', 'head', 'ended']);
+		expect(await sendOnce(client)).toEqual(['handed over', 'head', 'completed']);
 		expect(sockets.size).toBe(2);
 		target.server.close();
 		await client.close();
--- a/src/entry/node/targets/test/targetRegistry.test.ts
+++ b/src/entry/node/targets/test/targetRegistry.test.ts
@@ -39,28 +39,28 @@
 }
 
 function listUsable(registry: TargetRegistry): string[] {
-	return ['bookings-1', 'bookings-2'].filter(id => registry.getLives().isUsable(id as TargetId));
+	return ['bookings-1', 'bookings-2'].filter(id => registry.getLifecycles().isUsable(id as TargetId));
 }
 
-describe('a target that the instance list names as leaving', () => {
+describe('a target that the instance list reports as leaving', () => {
 	const leaving = { targets: [{ id: first, kind: 'target' as const, state: ListedState.Leaving }] };
 
-	// The platform is about to stop a target that says nothing itself. Requests that are sent to it until its
-	// port closes end with a connection reset.
-	it('gets no more requests', () => {
+	// The platform is about to stop a target that does not announce it itself. Requests sent to the target until
+	// its port closes would end with a connection reset.
+	it('receives no more requests', () => {
 		const registry = createRegistry();
 		registry.setManifest(createManifest());
 		expect(listUsable(registry)).toEqual(['bookings-1', 'bookings-2']);
 		registry.setInstanceList(leaving);
 		expect(listUsable(registry)).toEqual(['bookings-2']);
-		const described = registry.listDescribed('bookings' as ServiceName).find(({ id }) => id === first);
+		const described = registry.listSummaries('bookings' as ServiceName).find(({ id }) => id === first);
 		expect(described?.lastSign).toBe('instance list');
 		registry.dispose();
 	});
 
-	// An entry starts and reads the list before the manifest. If the list were lost, the new entry alone would
-	// send requests to the target that everybody else has left.
-	it('gets none from an entry that read the list first', () => {
+	// An entry starts and reads the instance list before the manifest. If the list were lost, the new entry
+	// would be the only one that still sends requests to the target.
+	it('receives none from an entry that read the list before the manifest', () => {
 		const registry = createRegistry();
 		registry.setInstanceList(leaving);
 		registry.setManifest(createManifest());
--- a/src/entry/node/test/callHandler.test.ts
+++ b/src/entry/node/test/callHandler.test.ts
@@ -1,14 +1,14 @@
 import { ErrorKind, getOutcomeOf } from '../../../core/errors/common/errorKinds';
 import { Outcome } from '../../../core/errors/common/outcome';
 import { RepeatRule } from '../../../core/manifest/common/manifest';
-import type { SeenAttempt } from '../requests/test/flowFixtures';
+import type { CapturedAttempt } from '../requests/test/flowFixtures';
 import { beginAnswer } from '../requests/test/flowFixtures';
 import { createHandlerWorld } from './callHandlerFixtures';
 
-function answer(attempt: SeenAttempt | undefined, text: string): void {
+function answer(attempt: CapturedAttempt | undefined, text: string): void {
 	attempt!.observer.noteHandedOver();
 	beginAnswer(attempt!, text);
-	attempt!.observer.noteEnded();
+	attempt!.observer.noteCompleted();
 }
 
 describe('what a call handler counts', () => {
@@ -29,7 +29,7 @@
 		send(issue('neighbour'));
 		send('1:forged');
 		const refused = send(issue());
-		flow.attempts[1]!.observer.noteBroken(new Error('connect refused'));
+		flow.attempts[1]!.observer.noteFailed(new Error('connect refused'));
 		flow.timers.advance(30_000);
 		expect(refused.refusal && getOutcomeOf(refused.refusal)).toBe(Outcome.NotRun);
 		const counts = (await render()).match(/^anvilroad_tickets_total.*$/gm)?.sort();
@@ -52,7 +52,7 @@
 		beginAnswer(attempt, 'one');
 		flow.timers.advance(40);
 		attempt.observer.receiveData(Buffer.from('two'));
-		attempt.observer.noteEnded();
+		attempt.observer.noteCompleted();
 		const page = await render();
 		expect(page).toContain('anvilroad_attempts_total{service="bookings",end="answered"} 1');
 		expect(page).toContain('anvilroad_queue_wait_seconds_count{service="bookings",class="normal"} 1');
--- a/src/entry/node/test/callHandlerFixtures.ts
+++ b/src/entry/node/test/callHandlerFixtures.ts
@@ -30,10 +30,10 @@
 import { HeldBytes } from '../callers/bodyReader';
 import type { PeerConnection } from '../peers/peerClients';
 import { ActiveRuns } from '../requests/activeRuns';
-import type { IRouterSurroundings } from '../requests/requestRouter';
+import type { IRouterContext } from '../requests/requestRouter';
 import { RequestRouter } from '../requests/requestRouter';
 import type { Flow } from '../requests/test/flowFixtures';
-import { createFlow, createFlowManifest, RememberingSink } from '../requests/test/flowFixtures';
+import { createFlow, createFlowManifest, CapturingSink } from '../requests/test/flowFixtures';
 import { HmacTicketSigner } from '../tickets/hmacTicketSigner';
 import { TicketService } from '../tickets/ticketService';
 
@@ -56,7 +56,7 @@
 	/** A ticket of this entry, or of another one of its region. */
 	issue(issuer?: 'own' | 'neighbour'): string;
 	/** Sends a call as a caller's connection would; undefined where the head was refused. */
-	send(ticket: string | undefined, body?: string): RememberingSink;
+	send(ticket: string | undefined, body?: string): CapturingSink;
 	setLeaving(): void;
 }
 
@@ -128,7 +128,7 @@
 	};
 }
 
-function createSurroundings(flow: Flow, runs: ActiveRuns, metrics: EntryMetrics): IRouterSurroundings {
+function createSurroundings(flow: Flow, runs: ActiveRuns, metrics: EntryMetrics): IRouterContext {
 	return {
 		getRunner: () => flow.runner,
 		getSendAwayPolicy: () => new StayHomePolicy(),
@@ -164,8 +164,8 @@
 	};
 }
 
-function sendCall(handler: CallHandler, head: CallHead, body: string): RememberingSink {
-	const sink = new RememberingSink();
+function sendCall(handler: CallHandler, head: CallHead, body: string): CapturingSink {
+	const sink = new CapturingSink();
 	const plan = handler.plan(head);
 	if (plan.isErr()) {
 		sink.refuse(head.ticket === undefined ? plan.error : handler.refuseTicketed(head.ticket, plan.error));
