--- a/src/bench/common/scenarios/regions.ts
+++ b/src/bench/common/scenarios/regions.ts
@@ -9,7 +9,7 @@
 	SendAwayAnswer,
 	SendAwayQuestion,
 } from '../../../entry/common/sendAway/sendAwayPolicy';
-import { SendAwayPolicy } from '../../../entry/common/sendAway/costedSendAway';
+import { SendAwayPolicy } from '../../../entry/common/sendAway/costBasedSendAwayPolicy';
 import { StayHomePolicy } from '../../../entry/common/sendAway/sendAwayPolicy';
 import { ModelEnd } from '../entryModel';
 import type { RegionEvent, RegionOptions, RegionRecord, RegionResult } from '../regionExperiment';
--- a/src/bench/node/decisionCost.ts
+++ b/src/bench/node/decisionCost.ts
@@ -14,7 +14,7 @@
 	ScheduleDecision,
 } from '../../entry/common/scheduling/serviceScheduler';
 import { AttemptEnd, ScheduleDecisionKind } from '../../entry/common/scheduling/serviceScheduler';
-import { SendAwayPolicy } from '../../entry/common/sendAway/costedSendAway';
+import { SendAwayPolicy } from '../../entry/common/sendAway/costBasedSendAwayPolicy';
 import type {
 	InstanceId,
 	OrganisationName,
--- a/src/bench/test/regions.test.ts
+++ b/src/bench/test/regions.test.ts
@@ -1,4 +1,4 @@
-import { SendAwayPolicy } from '../../entry/common/sendAway/costedSendAway';
+import { SendAwayPolicy } from '../../entry/common/sendAway/costBasedSendAwayPolicy';
 import type { ISendAwayPolicy } from '../../entry/common/sendAway/sendAwayPolicy';
 import { StayHomePolicy } from '../../entry/common/sendAway/sendAwayPolicy';
 import type { IRandom } from '../../base/common/random';
--- a/src/capacity/common/spreadModel.ts
+++ b/src/capacity/common/spreadModel.ts
@@ -7,7 +7,7 @@
 
 import { SeededRandom } from '../../base/common/random';
 import type { EntryView } from '../../entry/common/fleetView/entryView';
-import { ExchangePlan } from '../../entry/common/fleetView/exchangePlan';
+import { ExchangePlan } from '../../entry/common/fleetView/exchangePlanner';
 import { FleetView } from '../../entry/common/fleetView/fleetView';
 import type { InstanceId, ManifestVersion } from '../../core/ids/common/ids';
 import { createSyntheticView } from './syntheticView';
--- a/src/entry/common/fleetView/test/fleetView.test.ts
+++ b/src/entry/common/fleetView/test/fleetView.test.ts
@@ -11,7 +11,7 @@
 import { defaultFleetViewFigures } from '../../scheduling/policy';
 import type { EntryView } from '../entryView';
 import { estimateViewBytes } from '../entryView';
-import { ExchangePlan } from '../exchangePlan';
+import { ExchangePlan } from '../exchangePlanner';
 import { FleetView } from '../fleetView';
 
 const self = 'entry-self' as InstanceId;
--- a/src/entry/common/leaving/test/planLeaving.test.ts
+++ b/src/entry/common/leaving/test/shutdownPlan.test.ts
@@ -1,5 +1,5 @@
 import fc from 'fast-check';
-import { computeTakingMs, planLeaving } from '../planLeaving';
+import { computeTakingMs, planLeaving } from '../shutdownPlan';
 
 describe('planLeaving', () => {
 	it('ends before the platform ends the process, whatever time it gives', () => {
--- a/src/entry/common/sendAway/test/costedSendAway.test.ts
+++ b/src/entry/common/sendAway/test/costBasedSendAwayPolicy.test.ts
@@ -2,7 +2,7 @@
 import type { InstanceId, RegionName } from '../../../../core/ids/common/ids';
 import { defaultSendAwayFigures } from '../../scheduling/policy';
 import { createRequest } from '../../scheduling/test/fixtures';
-import { SendAwayPolicy } from '../costedSendAway';
+import { SendAwayPolicy } from '../costBasedSendAwayPolicy';
 import type { RemoteOffer, SendAwayQuestion } from '../sendAwayPolicy';
 
 const megabitBytesPerMs = 125;
--- a/src/entry/common/sendAway/test/reliefPolicy.test.ts
+++ b/src/entry/common/sendAway/test/firstByteSendAwayPolicy.test.ts
@@ -1,7 +1,7 @@
 import { SeededRandom } from '../../../../base/common/random';
 import type { InstanceId, OrganisationName, RegionName, RequestId } from '../../../../core/ids/common/ids';
 import { RequestClass } from '../../../../core/requests/common/requestClass';
-import { ReliefPolicy } from '../reliefPolicy';
+import { ReliefPolicy } from '../firstByteSendAwayPolicy';
 import type { RemoteOffer, SendAwayQuestion } from '../sendAwayPolicy';
 
 const montego = 'montego' as RegionName;
--- a/src/entry/node/entry.ts
+++ b/src/entry/node/entry.ts
@@ -20,7 +20,7 @@
 import type { EntrySettings } from '../../core/settings/common/entrySettings';
 import { EntryMetrics } from '../../core/telemetry/node/entryMetrics';
 import { DecisionLogger, writeAuditLines } from '../../core/telemetry/node/logger';
-import { computeTakingMs } from '../common/leaving/planLeaving';
+import { computeTakingMs } from '../common/leaving/shutdownPlan';
 import { RequestIntake } from '../common/intake/requestIntake';
 import { Quarantine } from '../common/quarantine/quarantine';
 import { HeldBytes } from './callers/bodyReader';
--- a/src/entry/node/environment/entryEnvironment.ts
+++ b/src/entry/node/environment/entryEnvironment.ts
@@ -14,7 +14,7 @@
 import type { ITargetDialect } from '../../common/dialect/targetDialect';
 import type { IServiceScheduler } from '../../common/scheduling/serviceScheduler';
 import type { ISendAwayPolicy } from '../../common/sendAway/sendAwayPolicy';
-import type { LeavingTimes } from '../../common/leaving/planLeaving';
+import type { LeavingTimes } from '../../common/leaving/shutdownPlan';
 import type { CallHandler } from '../callHandler';
 import type { EntryFleet } from '../fleet/entryFleet';
 import type { ManifestKeeper } from '../manifest/manifestKeeper';
--- a/src/entry/node/environment/ownEnvironment.ts
+++ b/src/entry/node/environment/ownEnvironment.ts
@@ -6,10 +6,10 @@
 import type { EntrySettings } from '../../../core/settings/common/entrySettings';
 import { OwnCallerDialect } from '../../common/dialect/ownCallerDialect';
 import { OwnTargetDialect } from '../../common/dialect/ownTargetDialect';
-import type { LeavingTimes } from '../../common/leaving/planLeaving';
-import { planLeaving } from '../../common/leaving/planLeaving';
+import type { LeavingTimes } from '../../common/leaving/shutdownPlan';
+import { planLeaving } from '../../common/leaving/shutdownPlan';
 import { ServiceScheduler } from '../../common/scheduling/scheduler';
-import { SendAwayPolicy } from '../../common/sendAway/costedSendAway';
+import { SendAwayPolicy } from '../../common/sendAway/costBasedSendAwayPolicy';
 import { TargetRegistry } from '../targets/targetRegistry';
 import type {
 	EntryPlatform,
--- a/src/entry/node/fleet/entryFleet.ts
+++ b/src/entry/node/fleet/entryFleet.ts
@@ -18,7 +18,7 @@
 import type { EntryView as WireView } from '../../../gen/anvilroad/peer/v1/peer_pb';
 import type { EntryView } from '../../common/fleetView/entryView';
 import { findRoom } from '../../common/fleetView/entryView';
-import { ExchangePlan } from '../../common/fleetView/exchangePlan';
+import { ExchangePlan } from '../../common/fleetView/exchangePlanner';
 import type { KnownInstance } from '../../common/fleetView/fleetView';
 import { FleetView } from '../../common/fleetView/fleetView';
 import type { KnownEntry as LookupEntry } from '../../common/lookup/rankEntries';
--- a/src/entry/node/fleet/test/contacts.test.ts
+++ b/src/entry/node/fleet/test/contacts.test.ts
@@ -1,6 +1,6 @@
 import { SeededRandom } from '../../../../base/common/random';
 import type { InstanceId, RegionName, ZoneName } from '../../../../core/ids/common/ids';
-import { ExchangePlan } from '../../../common/fleetView/exchangePlan';
+import { ExchangePlan } from '../../../common/fleetView/exchangePlanner';
 import { FleetView } from '../../../common/fleetView/fleetView';
 import { Contacts } from '../contacts';
 import { createView } from './views';
