--- a/src/bench/common/regionExperiment.ts
+++ b/src/bench/common/regionExperiment.ts
@@ -204,7 +204,7 @@
 		const end = answer.end === ModelEnd.Answered && !isInTime ? ModelEnd.Failed : answer.end;
 		const isAnswered = end === ModelEnd.Answered;
 		const bytes = isAnswered ? this.options.answerBytes : 0;
-		from.policy.noteEnd(to.instance, isAnswered, nowMs - record.plannedMs, bytes, nowMs);
+		from.policy.recordEnd(to.instance, isAnswered, nowMs - record.plannedMs, bytes, nowMs);
 		this.finish(record, { ...answer, end });
 	}
 
--- a/src/bench/common/scenarios/regions.ts
+++ b/src/bench/common/scenarios/regions.ts
@@ -6,11 +6,11 @@
 import type { IRandom } from '../../../base/common/random';
 import type {
 	ISendAwayPolicy,
-	SendAwayAnswer,
-	SendAwayQuestion,
+	SendAwayDecision,
+	SendAwayContext,
 } from '../../../entry/common/sendAway/sendAwayPolicy';
-import { SendAwayPolicy } from '../../../entry/common/sendAway/costBasedSendAwayPolicy';
-import { StayHomePolicy } from '../../../entry/common/sendAway/sendAwayPolicy';
+import { CostBasedSendAwayPolicy } from '../../../entry/common/sendAway/costBasedSendAwayPolicy';
+import { NeverSendAwayPolicy } from '../../../entry/common/sendAway/sendAwayPolicy';
 import { ModelEnd } from '../entryModel';
 import type { RegionEvent, RegionOptions, RegionRecord, RegionResult } from '../regionExperiment';
 import { RegionExperiment } from '../regionExperiment';
@@ -24,13 +24,13 @@
 
 /** Sends whatever may go as soon as anything waits here and any slot was free there: the baseline. */
 class GreedyPolicy implements ISendAwayPolicy {
-	decide({ localRoom, offers }: SendAwayQuestion): SendAwayAnswer {
+	decide({ localRoom, offers }: SendAwayContext): SendAwayDecision {
 		const offer = offers.find(({ room }) => room.freeSlots > 0);
 		const sendTo = localRoom.freeSlots <= 0 ? offer?.instance : undefined;
 		return { sendTo, reason: 'greedy' };
 	}
 
-	noteEnd(): void {
+	recordEnd(): void {
 		return;
 	}
 }
@@ -41,8 +41,8 @@
 }
 
 const contenders: readonly SendAwayContender[] = [
-	{ name: 'anvilroad', create: random => new SendAwayPolicy(random) },
-	{ name: 'no sending away', create: () => new StayHomePolicy() },
+	{ name: 'anvilroad', create: random => new CostBasedSendAwayPolicy(random) },
+	{ name: 'no sending away', create: () => new NeverSendAwayPolicy() },
 	{ name: 'greedy', create: () => new GreedyPolicy() },
 ];
 
--- a/src/bench/node/decisionCost.ts
+++ b/src/bench/node/decisionCost.ts
@@ -14,7 +14,7 @@
 	ScheduleDecision,
 } from '../../entry/common/scheduling/serviceScheduler';
 import { AttemptEnd, ScheduleDecisionKind } from '../../entry/common/scheduling/serviceScheduler';
-import { SendAwayPolicy } from '../../entry/common/sendAway/costBasedSendAwayPolicy';
+import { CostBasedSendAwayPolicy } from '../../entry/common/sendAway/costBasedSendAwayPolicy';
 import type {
 	InstanceId,
 	OrganisationName,
@@ -176,7 +176,7 @@
 
 function measureSendAway(): CostRow {
 	const random = new SeededRandom(6);
-	const policy = new SendAwayPolicy(random);
+	const policy = new CostBasedSendAwayPolicy(random);
 	const offers = Array.from({ length: 12 }, (_, index) => ({
 		instance: `entry-${index}` as InstanceId,
 		region: (index % 2 === 0 ? 'region-b' : 'region-c') as RegionName,
@@ -194,7 +194,7 @@
 			policy.decide({ request, localRoom, offers, isUnservedHere: false }, nowMs),
 		);
 		if (sendTo !== undefined) {
-			policy.noteEnd(sendTo, true, 500, 4_000, nowMs);
+			policy.recordEnd(sendTo, true, 500, 4_000, nowMs);
 		}
 	}
 	return { setting: 'sending away, 12 offers', figures: meter.listFigures('decision') };
--- a/src/bench/test/regions.test.ts
+++ b/src/bench/test/regions.test.ts
@@ -1,6 +1,6 @@
-import { SendAwayPolicy } from '../../entry/common/sendAway/costBasedSendAwayPolicy';
+import { CostBasedSendAwayPolicy } from '../../entry/common/sendAway/costBasedSendAwayPolicy';
 import type { ISendAwayPolicy } from '../../entry/common/sendAway/sendAwayPolicy';
-import { StayHomePolicy } from '../../entry/common/sendAway/sendAwayPolicy';
+import { NeverSendAwayPolicy } from '../../entry/common/sendAway/sendAwayPolicy';
 import type { IRandom } from '../../base/common/random';
 import { ModelEnd } from '../common/entryModel';
 import type { RegionEvent, RegionRecord, RegionResult } from '../common/regionExperiment';
@@ -40,8 +40,8 @@
 	}).run();
 }
 
-const send = (random: IRandom): ISendAwayPolicy => new SendAwayPolicy(random);
-const stay = (): ISendAwayPolicy => new StayHomePolicy();
+const send = (random: IRandom): ISendAwayPolicy => new CostBasedSendAwayPolicy(random);
+const stay = (): ISendAwayPolicy => new NeverSendAwayPolicy();
 
 function computeAnswered(records: readonly RegionRecord[]): number {
 	return records.filter(record => record.end === ModelEnd.Answered).length / records.length;
--- a/src/capacity/common/spreadModel.ts
+++ b/src/capacity/common/spreadModel.ts
@@ -7,7 +7,7 @@
 
 import { SeededRandom } from '../../base/common/random';
 import type { EntryView } from '../../entry/common/fleetView/entryView';
-import { ExchangePlan } from '../../entry/common/fleetView/exchangePlanner';
+import { ExchangePlanner } from '../../entry/common/fleetView/exchangePlanner';
 import { FleetView } from '../../entry/common/fleetView/fleetView';
 import type { InstanceId, ManifestVersion } from '../../core/ids/common/ids';
 import { createSyntheticView } from './syntheticView';
@@ -61,7 +61,7 @@
 class SpreadModel {
 	private readonly views: EntryView[] = [];
 	private readonly fleets: FleetView[] = [];
-	private readonly plans: ExchangePlan[] = [];
+	private readonly plans: ExchangePlanner[] = [];
 	private readonly indexes = new Map<InstanceId, number>();
 
 	constructor(nodes: number, seed: number) {
@@ -71,7 +71,7 @@
 			const fleet = new FleetView(view.instance);
 			this.views.push(view);
 			this.fleets.push(fleet);
-			this.plans.push(new ExchangePlan(view, fleet, random));
+			this.plans.push(new ExchangePlanner(view, fleet, random));
 			this.indexes.set(view.instance, index);
 		}
 		for (const fleet of this.fleets) {
@@ -104,7 +104,7 @@
 	}
 
 	computeSuspectAfter(): number {
-		return this.fleets[0]?.computeSuspectAfter() ?? Number.NaN;
+		return this.fleets[0]?.computeSuspectTimeout() ?? Number.NaN;
 	}
 
 	private exchange(from: number, to: number, nowMs: number): void {
--- a/src/entry/common/fleetView/entryView.ts
+++ b/src/entry/common/fleetView/entryView.ts
@@ -1,5 +1,5 @@
 /**
- * What one entry says of itself, as entries pass it on.
+ * The state that an entry publishes about itself, as entries exchange and pass it on.
  */
 
 import type {
@@ -14,20 +14,20 @@
 } from '../../../core/ids/common/ids';
 import type { ServiceRoom } from '../scheduling/serviceScheduler';
 
-/** Room of one service at one entry. */
+/** Capacity of one entry for one service. */
 export interface ServiceRoomView {
 	readonly service: ServiceName;
 	readonly room: ServiceRoom;
 }
 
-/** A request that was in flight when its target died. */
+/** A request that was in flight when its target crashed. */
 export interface CrashSightingView {
 	readonly fingerprint: Fingerprint;
 	readonly target: TargetId;
 	readonly ageMs: number;
 }
 
-/** A view; a higher sequence of the same boot replaces a lower one. */
+/** The published state of one entry. A higher sequence of the same boot replaces a lower one. */
 export interface EntryView {
 	readonly instance: InstanceId;
 	readonly bootId: BootId;
@@ -39,24 +39,24 @@
 	readonly isLeaving: boolean;
 	readonly manifestVersion: ManifestVersion;
 	readonly manifestDigest: string;
-	/** Milliseconds since the entry spoke, added up along the way. */
+	/** Milliseconds since the entry published the view. Each entry that passes the view on adds its own delay. */
 	readonly ageMs: number;
 	readonly rooms: readonly ServiceRoomView[];
 	readonly leavingTargets: readonly TargetId[];
 	readonly crashSightings: readonly CrashSightingView[];
 }
 
-/** The room that a view tells of a service. */
+/** Returns the capacity that a view reports for a service. */
 export function findRoom(view: EntryView, service: ServiceName): ServiceRoom | undefined {
-	return view.rooms.find(told => told.service === service)?.room;
+	return view.rooms.find(reported => reported.service === service)?.room;
 }
 
-/** Tags, lengths and numbers of a view beside its texts. */
+/** Encoded bytes of a view apart from its texts: tags, lengths and numbers. */
 const fixedBytes = 40;
 const roomBytes = 14;
 const sightingBytes = 10;
 
-/** Bytes of a view on the wire, to within a few. */
+/** Estimates the bytes of a view on the wire, accurate to a few bytes. */
 export function estimateViewBytes(view: EntryView): number {
 	const texts = [
 		view.instance,
--- a/src/entry/common/fleetView/exchangePlanner.ts
+++ b/src/entry/common/fleetView/exchangePlanner.ts
@@ -1,11 +1,12 @@
 /**
- * With whom views are exchanged next and which views go along. Load pattern: a fleet of hundreds. If each
- * node told every other, control traffic would grow with the square of the fleet; here each begins one or two
- * exchanges a period, and the views that go along are bounded by bytes, so that the traffic
- * of a node does not depend on the size of the fleet at all.
+ * Selects the peers to exchange views with and the views to send to them. If each node sent its view to every
+ * other node, control traffic in a fleet of hundreds would grow with the square of the fleet. Here each node
+ * starts one or two exchanges per period and the views in a message are limited in bytes, so that the traffic
+ * of a node does not depend on the size of the fleet.
  *
- * Most exchanges stay in the own zone, whose room callers and routing need freshest, and which goes on when
- * it is cut off; some leave the region, so that a manifest seen by one instance reaches all zones.
+ * Most exchanges stay within the local zone, because callers and routing need its capacity most up to date and
+ * because the zone keeps working when it is cut off. Some exchanges leave the region, so that a manifest
+ * received by one instance reaches all zones.
  */
 
 import type { IRandom } from '../../../base/common/random';
@@ -16,22 +17,22 @@
 import { estimateViewBytes } from './entryView';
 import type { FleetView, KnownInstance } from './fleetView';
 
-/** Where this entry stands. */
-export interface ExchangePlace {
+/** The location of this entry. */
+export interface ExchangeLocation {
 	readonly region: RegionName;
 	readonly zone: ZoneName;
 }
 
-/** Plans the exchanges of one entry. */
-export class ExchangePlan {
+/** Plans the exchanges that one entry starts. */
+export class ExchangePlanner {
 	constructor(
-		private readonly place: ExchangePlace,
+		private readonly location: ExchangeLocation,
 		private readonly fleet: FleetView,
 		private readonly random: IRandom,
-		private readonly figures: FleetViewFigures = defaultFleetViewFigures,
+		private readonly options: FleetViewFigures = defaultFleetViewFigures,
 	) {}
 
-	/** The peers to exchange with now, each once. */
+	/** Returns the peers to exchange views with now, without duplicates. */
 	pickPeers(nowMs: number): readonly KnownInstance[] {
 		const picked = new Map<InstanceId, KnownInstance>();
 		for (let exchange = 0; exchange < this.fleet.exchangesPerPeriod; exchange++) {
@@ -43,18 +44,20 @@
 		return [...picked.values()];
 	}
 
-	/** The peer to exchange with now, or undefined where none is known. Suspected ones are tried now and then. */
+	/**
+	 * Returns one peer to exchange views with, or undefined if none is known. Suspected peers are retried occasionally.
+	 */
 	pickPeer(nowMs: number): KnownInstance | undefined {
 		const known = this.fleet.list(nowMs).filter(({ view }) => !view.isLeaving);
 		const trusted = known.filter(({ isSuspect }) => !isSuspect);
-		const isRetry = this.random.pickFraction() < suspectShare;
+		const isRetry = this.random.pickFraction() < suspectRetryShare;
 		const pool = trusted.length === 0 || (isRetry && known.length > 0) ? known : trusted;
-		return this.pickOne(this.pickGroup(pool));
+		return this.pickRandomPeer(this.pickCandidates(pool));
 	}
 
 	/**
-	 * The views to send to a peer: this entry's own, then others that are not suspected, the peer's zone first
-	 * and drawn at random within it, until the bytes of one exchange are used up.
+	 * Returns the views to send to a peer: this entry's own view, then views of instances that are not suspected,
+	 * those in the peer's zone first and otherwise in random order, until the byte limit of a message is reached.
 	 */
 	listViews(own: EntryView, peer: InstanceId | undefined, nowMs: number): readonly EntryView[] {
 		const peerZone = peer === undefined ? undefined : this.fleet.find(peer, nowMs)?.view.zone;
@@ -67,7 +70,7 @@
 		let bytes = estimateViewBytes(own);
 		for (const { known } of others) {
 			const viewBytes = estimateViewBytes(known.view);
-			if (bytes + viewBytes > this.computeMostBytes()) {
+			if (bytes + viewBytes > this.computeMaxMessageBytes()) {
 				break;
 			}
 			bytes += viewBytes;
@@ -76,30 +79,34 @@
 		return views;
 	}
 
-	/** Bytes of one message: a node sends and receives in the exchanges that it begins and that others begin. */
-	private computeMostBytes(): number {
+	/**
+	 * Maximum bytes of one message. A node sends and receives a message in each exchange that it starts and in each
+	 * that a peer starts, so the budget of a period is divided among all of these.
+	 */
+	private computeMaxMessageBytes(): number {
 		const { bytesPerSecond, exchangesPerPeriod } = this.fleet;
 		const messagesPerExchange = 2;
 		const roles = 2;
-		const periodBytes = (bytesPerSecond * this.figures.periodMs) / 1_000;
+		const periodBytes = (bytesPerSecond * this.options.periodMs) / 1_000;
 		return periodBytes / (messagesPerExchange * roles * exchangesPerPeriod);
 	}
 
-	private pickGroup(known: readonly KnownInstance[]): readonly KnownInstance[] {
-		const { zone, region } = this.place;
-		const { zoneShare, regionShare } = this.figures;
+	private pickCandidates(known: readonly KnownInstance[]): readonly KnownInstance[] {
+		const { zone, region } = this.location;
+		const { zoneShare, regionShare } = this.options;
 		const inZone = known.filter(({ view }) => view.region === region && view.zone === zone);
 		const inRegion = known.filter(({ view }) => view.region === region && view.zone !== zone);
 		const elsewhere = known.filter(({ view }) => view.region !== region);
-		const draw = this.random.pickFraction();
-		const drawn = draw < zoneShare ? inZone : draw < zoneShare + regionShare ? inRegion : elsewhere;
-		return drawn.length > 0 ? drawn : known;
+		const randomFraction = this.random.pickFraction();
+		const candidates =
+			randomFraction < zoneShare ? inZone : randomFraction < zoneShare + regionShare ? inRegion : elsewhere;
+		return candidates.length > 0 ? candidates : known;
 	}
 
-	private pickOne(known: readonly KnownInstance[]): KnownInstance | undefined {
+	private pickRandomPeer(known: readonly KnownInstance[]): KnownInstance | undefined {
 		return known[this.random.pickBelow(known.length)];
 	}
 }
 
-/** Part of the exchanges in which suspected peers are considered too: they may be back. */
-const suspectShare = 0.1;
+/** Share of the exchanges in which suspected peers are candidates too, because they may be reachable again. */
+const suspectRetryShare = 0.1;
--- a/src/entry/common/fleetView/fleetView.ts
+++ b/src/entry/common/fleetView/fleetView.ts
@@ -1,12 +1,12 @@
 /**
- * What this entry holds of the other entries. Views arrive late, twice, out of order and by way of others;
- * they are merged by boot and sequence, and every age is counted on this process's monotonic clock from
- * the moment of arrival, so that no clock of another machine is ever compared.
+ * The views of other entries that this entry holds. Views arrive late, twice, out of order and through other
+ * entries. They are merged by boot and sequence. Every age is measured on this process's monotonic clock from
+ * the moment of arrival, so that clocks of different machines are never compared.
  *
- * Load patterns: entries that come, go and restart while reports lag. Believing an old view sends callers
- * and requests to where room was a minute ago; so room fades to the mean of all, silence makes an instance
- * suspected, and longer silence lets it be forgotten. Suspicion waits for several expected renewals: with
- * a fixed bytes budget a view is renewed more rarely the larger the fleet is.
+ * Entries start, stop and restart while views lag. An old view would direct callers and requests to capacity
+ * that existed a minute ago. Therefore a reported capacity fades to the mean of all entries, an instance without
+ * recent views becomes suspected, and it is removed after a longer silence. The suspicion timeout covers several
+ * expected renewals, because with a fixed byte budget each view is renewed less often in a larger fleet.
  */
 
 import type { BootId, InstanceId, ServiceName } from '../../../core/ids/common/ids';
@@ -16,68 +16,70 @@
 import type { EntryView } from './entryView';
 import { estimateViewBytes, findRoom } from './entryView';
 
-/** An instance as it is known here. */
+/** The latest view of an instance, with its age and reachability. */
 export interface KnownInstance {
 	readonly view: EntryView;
-	/** Milliseconds since it spoke. */
+	/** Milliseconds since the instance published the view. */
 	readonly ageMs: number;
+	/** Whether the instance has been silent for too long or could not be reached several times in a row. */
 	readonly isSuspect: boolean;
 }
 
 interface InstanceRecord {
 	view: EntryView;
-	/** When it spoke, on this process's clock. */
-	spokenMs: number;
-	failuresInRow: number;
-	/** Boots before the present one; a late view of one of them is dropped. */
-	readonly pastBoots: Set<BootId>;
+	/** When the instance published the view, on this process's clock. */
+	reportedMs: number;
+	consecutiveFailures: number;
+	/** Boots before the current one. A late view of one of them is dropped. */
+	readonly previousBoots: Set<BootId>;
 }
 
-/** Boots of an instance that are remembered; more restarts than that within a view's life are not expected. */
-const mostPastBoots = 8;
+/** Number of earlier boots remembered per instance. More restarts within the lifetime of a view are not expected. */
+const maxPreviousBoots = 8;
 
 /**
- * The least time that a view is held, in milliseconds: as long as a ticket lives. Its issuer is found by its
- * view, and a shorter time would refuse tickets whose issuer is merely cut off for a moment.
+ * Minimum time that a view is kept, equal to the lifetime of a ticket. The issuer of a ticket is found through its
+ * view, so a shorter time would refuse tickets whose issuer is unreachable only for a moment.
  */
-const leastHeldMs = 120_000;
+const minRetentionMs = 120_000;
 
 /**
- * Up to this many others, a node spends more on views than the budget of a large fleet. Sending away goes by
- * offers of other regions that are at most seconds old; with the small budget a fleet of seven held offers
- * too old to use for most of the time, and a drained region refused what another had room for.
+ * Number of other instances up to which a node spends more bytes on views than the budget of a large fleet.
+ * Sending requests to other regions requires offers that are at most seconds old. With the budget of a large
+ * fleet, the offers held by a fleet of seven were too old most of the time, and a drained region refused requests
+ * that another region had capacity for.
  */
-const smallFleetInstances = 64;
+const maxSmallFleetPeers = 64;
 const smallFleetBytesPerSecond = 16_000;
 const smallFleetExchanges = 2;
 
-/** The views held by one entry. */
+/** Holds the views of other entries at one entry. */
 export class FleetView {
 	private readonly records = new Map<InstanceId, InstanceRecord>();
-	private meanViewBytes = 300;
+	private meanBytes = 300;
 
 	constructor(
 		private readonly self: InstanceId,
-		private readonly figures: FleetViewFigures = defaultFleetViewFigures,
+		private readonly options: FleetViewFigures = defaultFleetViewFigures,
 	) {}
 
-	/** Takes views in; gives those that were news, with the age they have here. */
+	/** Merges received views and returns those that were newer than the views held. */
 	merge(views: readonly EntryView[], nowMs: number): readonly EntryView[] {
-		return views.filter(view => view.instance !== this.self && this.mergeOne(view, nowMs));
+		return views.filter(view => view.instance !== this.self && this.mergeView(view, nowMs));
 	}
 
-	/** An exchange with the instance failed (`true`: worked). */
-	noteExchange(instance: InstanceId, isReached: boolean): void {
+	/** Records whether an exchange with the instance reached it. */
+	recordExchange(instance: InstanceId, isReached: boolean): void {
 		const record = this.records.get(instance);
 		if (record !== undefined) {
-			record.failuresInRow = isReached ? 0 : record.failuresInRow + 1;
+			record.consecutiveFailures = isReached ? 0 : record.consecutiveFailures + 1;
 		}
 	}
 
-	/** This process slept: what it could not hear meanwhile is no silence of the others. */
+	/** Excludes the time in which this process was suspended from the silence of all other instances. */
 	noteOwnSleep(sleptMs: number): void {
 		for (const record of this.records.values()) {
-			record.spokenMs += sleptMs;
+			record.reportedMs += sleptMs;
 		}
 	}
 
@@ -85,117 +87,125 @@
 		return this.records.has(instance);
 	}
 
-	/** Forgets instances that were silent for far longer than the suspicion time; gives their ids. */
+	/** Removes instances that were silent for far longer than the suspicion timeout and returns their ids. */
 	expire(nowMs: number): readonly InstanceId[] {
-		const longestMs = this.computeForgetAfter();
-		const gone = [...this.records].filter(([, record]) => nowMs - record.spokenMs > longestMs);
-		for (const [instance] of gone) {
+		const timeoutMs = this.computeExpiryTimeout();
+		const expired = [...this.records].filter(([, record]) => nowMs - record.reportedMs > timeoutMs);
+		for (const [instance] of expired) {
 			this.records.delete(instance);
 		}
-		return gone.map(([instance]) => instance);
+		return expired.map(([instance]) => instance);
 	}
 
 	find(instance: InstanceId, nowMs: number): KnownInstance | undefined {
 		const record = this.records.get(instance);
-		return record === undefined ? undefined : this.createKnown(record, nowMs);
+		return record === undefined ? undefined : this.createKnownInstance(record, nowMs);
 	}
 
-	/** All instances that are known, this one left out. */
+	/** Returns all known instances except this one. */
 	list(nowMs: number): readonly KnownInstance[] {
-		return [...this.records.values()].map(record => this.createKnown(record, nowMs));
+		return [...this.records.values()].map(record => this.createKnownInstance(record, nowMs));
 	}
 
 	/**
-	 * Room of a service at an instance, drawn towards the mean of all as the view ages; undefined where
-	 * nobody has told any.
+	 * Estimates the capacity of an instance for a service. The reported value fades to the mean of all instances as
+	 * the view ages. Returns undefined if no instance has reported any capacity.
 	 */
 	estimateRoom(instance: InstanceId, service: ServiceName, nowMs: number): ServiceRoom | undefined {
-		const neutral = this.computeNeutral(service);
+		const meanRoom = this.computeMeanRoom(service);
 		const record = this.records.get(instance);
-		const told = record === undefined ? undefined : findRoom(record.view, service);
-		if (record === undefined || told === undefined || neutral === undefined) {
-			return neutral;
+		const reported = record === undefined ? undefined : findRoom(record.view, service);
+		if (record === undefined || reported === undefined || meanRoom === undefined) {
+			return meanRoom;
 		}
-		const belief = Math.exp((record.spokenMs - nowMs) / this.figures.roomFadeMs);
-		return computeMixedRoom(neutral, told, belief);
+		const reportWeight = Math.exp((record.reportedMs - nowMs) / this.options.roomFadeMs);
+		return computeBlendedRoom(meanRoom, reported, reportWeight);
 	}
 
-	/** Silence after which an instance is suspected, in milliseconds. */
-	computeSuspectAfter(): number {
-		const { suspectAfterMs, suspectAfterRenewals } = this.figures;
-		// Half of the bytes are received.
-		const renewalMs = (this.records.size * this.meanViewBytes * 1_000) / (this.bytesPerSecond / 2);
+	/** Time without a new view after which an instance is suspected, in milliseconds. */
+	computeSuspectTimeout(): number {
+		const { suspectAfterMs, suspectAfterRenewals } = this.options;
+		// Half of the byte budget is spent on received views.
+		const renewalMs = (this.records.size * this.meanBytes * 1_000) / (this.bytesPerSecond / 2);
 		return Math.max(suspectAfterMs, renewalMs * suspectAfterRenewals);
 	}
 
-	/** Silence after which an instance is forgotten, in milliseconds. */
-	computeForgetAfter(): number {
-		return Math.max(leastHeldMs, this.computeSuspectAfter() * this.figures.forgetFactor);
+	/** Time without a new view after which an instance is removed, in milliseconds. */
+	computeExpiryTimeout(): number {
+		return Math.max(minRetentionMs, this.computeSuspectTimeout() * this.options.forgetFactor);
 	}
 
-	/** Bytes a second that this node may spend on views, both directions and both roles together. */
+	/**
+	 * Bytes per second that this node may spend on views, sent and received, in exchanges started by this node and by
+	 * its peers.
+	 */
 	get bytesPerSecond(): number {
-		return this.isSmall() ? smallFleetBytesPerSecond : this.figures.bytesPerSecond;
+		return this.isSmallFleet() ? smallFleetBytesPerSecond : this.options.bytesPerSecond;
 	}
 
-	/** Exchanges that this node begins in one period. */
+	/** Number of exchanges that this node starts per period. */
 	get exchangesPerPeriod(): number {
-		return this.isSmall() ? smallFleetExchanges : 1;
+		return this.isSmallFleet() ? smallFleetExchanges : 1;
 	}
 
-	/** Mean bytes of the views held. */
-	get viewBytes(): number {
-		return this.meanViewBytes;
+	/** Moving average of the estimated bytes of merged views. */
+	get meanViewBytes(): number {
+		return this.meanBytes;
 	}
 
-	private isSmall(): boolean {
-		return this.records.size <= smallFleetInstances;
+	private isSmallFleet(): boolean {
+		return this.records.size <= maxSmallFleetPeers;
 	}
 
-	private mergeOne(view: EntryView, nowMs: number): boolean {
-		const spokenMs = nowMs - view.ageMs;
+	private mergeView(view: EntryView, nowMs: number): boolean {
+		const reportedMs = nowMs - view.ageMs;
 		const record = this.records.get(view.instance);
 		if (record === undefined) {
-			if (view.ageMs > this.computeSuspectAfter()) {
+			if (view.ageMs > this.computeSuspectTimeout()) {
 				return false;
 			}
-			this.records.set(view.instance, { view, spokenMs, failuresInRow: 0, pastBoots: new Set() });
-			this.noteBytes(view);
+			this.records.set(view.instance, {
+				view,
+				reportedMs,
+				consecutiveFailures: 0,
+				previousBoots: new Set(),
+			});
+			this.updateMeanViewBytes(view);
 			return true;
 		}
-		if (!isNewer(view, spokenMs, record)) {
+		if (!isNewer(view, reportedMs, record)) {
 			return false;
 		}
 		if (view.bootId !== record.view.bootId) {
-			noteBoot(record);
+			recordPreviousBoot(record);
 		}
 		record.view = view;
-		record.spokenMs = spokenMs;
-		record.failuresInRow = 0;
-		this.noteBytes(view);
+		record.reportedMs = reportedMs;
+		record.consecutiveFailures = 0;
+		this.updateMeanViewBytes(view);
 		return true;
 	}
 
-	private noteBytes(view: EntryView): void {
-		this.meanViewBytes += (estimateViewBytes(view) - this.meanViewBytes) / 16;
+	private updateMeanViewBytes(view: EntryView): void {
+		this.meanBytes += (estimateViewBytes(view) - this.meanBytes) / 16;
 	}
 
-	private createKnown(record: InstanceRecord, nowMs: number): KnownInstance {
-		const ageMs = nowMs - record.spokenMs;
+	private createKnownInstance(record: InstanceRecord, nowMs: number): KnownInstance {
+		const ageMs = nowMs - record.reportedMs;
 		const isSuspect =
-			ageMs > this.computeSuspectAfter() || record.failuresInRow >= this.figures.suspectAfterFailures;
+			ageMs > this.computeSuspectTimeout() || record.consecutiveFailures >= this.options.suspectAfterFailures;
 		return { view: record.view, ageMs, isSuspect };
 	}
 
-	private computeNeutral(service: ServiceName): ServiceRoom | undefined {
-		const told = [...this.records.values()]
+	private computeMeanRoom(service: ServiceName): ServiceRoom | undefined {
+		const reported = [...this.records.values()]
 			.map(record => findRoom(record.view, service))
 			.filter(room => room !== undefined);
-		if (told.length === 0) {
+		if (reported.length === 0) {
 			return undefined;
 		}
 		const mean = (measure: (room: ServiceRoom) => number): number =>
-			told.reduce((sum, room) => sum + measure(room), 0) / told.length;
+			reported.reduce((sum, room) => sum + measure(room), 0) / reported.length;
 		return {
 			waitMs: mean(room => room.waitMs),
 			freeSlots: mean(room => room.freeSlots),
@@ -206,27 +216,27 @@
 }
 
 /**
- * A higher sequence of the same boot is newer. Boots have no order: the one that spoke later is taken, and a
- * boot that was followed by another never comes back.
+ * Whether a view is newer than the recorded one. Within a boot the higher sequence is newer. Boots have no order,
+ * so the view published later wins, and a boot that was followed by another one is never accepted again.
  */
-function isNewer(view: EntryView, spokenMs: number, record: InstanceRecord): boolean {
+function isNewer(view: EntryView, reportedMs: number, record: InstanceRecord): boolean {
 	if (view.bootId === record.view.bootId) {
 		return view.sequence > record.view.sequence;
 	}
-	return !record.pastBoots.has(view.bootId) && spokenMs > record.spokenMs;
+	return !record.previousBoots.has(view.bootId) && reportedMs > record.reportedMs;
 }
 
-function noteBoot(record: InstanceRecord): void {
-	record.pastBoots.add(record.view.bootId);
-	const [oldest] = record.pastBoots;
-	if (record.pastBoots.size > mostPastBoots && oldest !== undefined) {
-		record.pastBoots.delete(oldest);
+function recordPreviousBoot(record: InstanceRecord): void {
+	record.previousBoots.add(record.view.bootId);
+	const [oldest] = record.previousBoots;
+	if (record.previousBoots.size > maxPreviousBoots && oldest !== undefined) {
+		record.previousBoots.delete(oldest);
 	}
 }
 
-function computeMixedRoom(neutral: ServiceRoom, told: ServiceRoom, belief: number): ServiceRoom {
+function computeBlendedRoom(meanRoom: ServiceRoom, reported: ServiceRoom, reportWeight: number): ServiceRoom {
 	const mix = (measure: (room: ServiceRoom) => number): number =>
-		measure(neutral) + (measure(told) - measure(neutral)) * belief;
+		measure(meanRoom) + (measure(reported) - measure(meanRoom)) * reportWeight;
 	return {
 		waitMs: mix(room => room.waitMs),
 		freeSlots: mix(room => room.freeSlots),
--- a/src/entry/common/fleetView/test/fleetView.test.ts
+++ b/src/entry/common/fleetView/test/fleetView.test.ts
@@ -11,7 +11,7 @@
 import { defaultFleetViewFigures } from '../../scheduling/policy';
 import type { EntryView } from '../entryView';
 import { estimateViewBytes } from '../entryView';
-import { ExchangePlan } from '../exchangePlanner';
+import { ExchangePlanner } from '../exchangePlanner';
 import { FleetView } from '../fleetView';
 
 const self = 'entry-self' as InstanceId;
@@ -44,7 +44,7 @@
 }
 
 describe('FleetView', () => {
-	it('ends with the highest sequence whatever the order in which views arrive', () => {
+	it('keeps the highest sequence for any order of arrival', () => {
 		fc.assert(
 			fc.property(fc.array(fc.integer({ min: 1, max: 20 }), { minLength: 1 }), sequences => {
 				const fleet = new FleetView(self);
@@ -58,9 +58,9 @@
 		);
 	});
 
-	// An entry restarts and its first views are lost; a peer still passes on what its predecessor said. Taken
-	// for news, this would send callers to a process that has gone.
-	it('never goes back to an earlier boot', () => {
+	// An entry has restarted, and a peer still passes on a view of the previous boot. Accepting that view would
+	// direct callers to a process that no longer exists.
+	it('never returns to an earlier boot', () => {
 		const fleet = new FleetView(self);
 		fleet.merge([createView('entry-2', { sequence: 90 })], 1_000);
 		fleet.merge([createView('entry-2', { bootId: 'boot-2' as BootId, sequence: 1 })], 2_000);
@@ -68,14 +68,14 @@
 		expect(fleet.find('entry-2' as InstanceId, 2_500)?.view.bootId).toBe('boot-2');
 	});
 
-	it('says nothing of itself by what others pass on', () => {
+	it('ignores views of its own instance that peers pass on', () => {
 		const fleet = new FleetView(self);
 		expect(fleet.merge([createView(self)], 0)).toEqual([]);
 		expect(fleet.list(0)).toEqual([]);
 	});
 
-	// An entry dies without a word. Its last view stays in the fleet and must lose its weight, then its name.
-	it('draws old room to the mean, suspects the silent and forgets them later', () => {
+	// An entry dies without announcing it. Its last view stays in the fleet, must fade, and must be removed later.
+	it('fades old capacity to the mean, suspects silent instances and removes them later', () => {
 		const fleet = new FleetView(self);
 		fleet.merge([createRoomView('entry-2', 20), createRoomView('entry-3', 0)], 0);
 		const instance = 'entry-2' as InstanceId;
@@ -88,9 +88,9 @@
 		expect(fleet.merge([createView('entry-2', { ageMs: 121_000 })], 121_000)).toEqual([]);
 	});
 
-	// An entry's own process is frozen for a while. If the others' silence in that time counted, it would wake
-	// to a fleet that it takes for dead and name no other entry to its callers.
-	it('counts no silence while its own process slept', () => {
+	// The process of an entry is suspended for a while. If that time counted as silence of its peers, the resumed
+	// entry would treat the whole fleet as dead and name no other entry to its callers.
+	it('does not count the time in which its own process was suspended as silence', () => {
 		const fleet = new FleetView(self);
 		fleet.merge([createView('entry-2')], 0);
 		fleet.noteOwnSleep(200_000);
@@ -98,25 +98,25 @@
 		expect(fleet.find('entry-2' as InstanceId, 203_000)).toMatchObject({ ageMs: 3_000, isSuspect: false });
 	});
 
-	it('suspects an instance that cannot be reached before its silence does', () => {
+	it('suspects an unreachable instance before the silence timeout', () => {
 		const fleet = new FleetView(self);
 		const instance = 'entry-2' as InstanceId;
 		fleet.merge([createView(instance)], 0);
-		fleet.noteExchange(instance, false);
+		fleet.recordExchange(instance, false);
 		expect(fleet.find(instance, 100)?.isSuspect).toBe(false);
-		fleet.noteExchange(instance, false);
+		fleet.recordExchange(instance, false);
 		expect(fleet.find(instance, 100)?.isSuspect).toBe(true);
 		fleet.merge([createView(instance, { sequence: 2 })], 200);
 		expect(fleet.find(instance, 200)?.isSuspect).toBe(false);
 	});
 });
 
-/** A fleet in one process: every node exchanges with one peer a second. */
+/** Simulates a fleet in one process. Every node starts one exchange per second. */
 class ModelFleet {
 	bytes = 0;
 	private readonly views: EntryView[] = [];
 	private readonly fleets: FleetView[] = [];
-	private readonly plans: ExchangePlan[] = [];
+	private readonly plans: ExchangePlanner[] = [];
 	private readonly random = new SeededRandom(5);
 
 	constructor(size: number) {
@@ -127,7 +127,7 @@
 			const fleet = new FleetView(view.instance);
 			this.views.push(view);
 			this.fleets.push(fleet);
-			this.plans.push(new ExchangePlan({ region, zone }, fleet, this.random));
+			this.plans.push(new ExchangePlanner({ region, zone }, fleet, this.random));
 		}
 		for (const fleet of this.fleets) {
 			fleet.merge(this.views, 0);
@@ -170,7 +170,7 @@
 		return views;
 	}
 
-	/** A node takes a higher manifest over, as the entry fetches it. */
+	/** Merges views and adopts a higher manifest version, as an entry does by fetching the manifest. */
 	private receive(index: number, views: readonly EntryView[], nowMs: number): void {
 		this.fleets[index]!.merge(views, nowMs);
 		const highest = Math.max(...views.map(view => view.manifestVersion));
@@ -181,7 +181,7 @@
 }
 
 describe('ExchangePlan at 360 nodes', () => {
-	it('stays under its bytes a second and carries a new manifest to every node', () => {
+	it('stays within its byte budget and spreads a new manifest to every node', () => {
 		const nodes = 360;
 		const fleet = new ModelFleet(nodes);
 		fleet.run(0, 5);
--- a/src/entry/common/leaving/finishable.ts
+++ b/src/entry/common/leaving/finishable.ts
@@ -1,19 +1,20 @@
 /**
- * Which requests an entry that is being stopped still takes. Load pattern: entries are stopped under load, and
- * callers go on sending to them for as long as they were told. A long answer that begins in the last seconds
- * is cut off when the platform ends the process, and its caller has neither the answer nor the time for
- * another one. Refused at once, and unrun, it is sent to another entry; short ones are served meanwhile.
+ * Decides which requests an entry still accepts while it is being stopped. Entries are stopped under load, and
+ * callers keep sending to them until their directory information is renewed. A long answer that begins in the
+ * last seconds is cut off when the platform ends the process, and its caller has neither the answer nor the time
+ * for another one. If the request is refused at once, without being run, it is sent to another entry. Requests
+ * with short answers are still served.
  */
 
 import type { PromptShape } from '../prompts/promptShape';
 
-/** Waiting and reading before an answer begins, in milliseconds: a second where targets are busy. */
-const beginsWithinMs = 1_000;
-/** Time for a token of a busy engine, in milliseconds: twice the 9 ms that a full batch takes. */
+/** Time that an answer may take to begin, for queueing and reading the prompt: a second at busy targets. */
+const maxFirstTokenMs = 1_000;
+/** Time per token of a busy engine: about twice the 9 ms that a full batch takes. */
 const msPerToken = 20;
 
-/** Whether an answer can be expected to be whole when `leftMs` have passed. */
-export function isFinishable(prompt: PromptShape | undefined, leftMs: number): boolean {
-	const tokens = prompt === undefined ? 0 : (prompt.hintedOutputTokens ?? prompt.mostOutputTokens);
-	return beginsWithinMs + tokens * msPerToken <= leftMs;
+/** Whether the answer can be expected to complete within `timeLeftMs`. */
+export function isFinishable(prompt: PromptShape | undefined, timeLeftMs: number): boolean {
+	const tokens = prompt === undefined ? 0 : (prompt.hintedOutputTokens ?? prompt.maxOutputTokens);
+	return maxFirstTokenMs + tokens * msPerToken <= timeLeftMs;
 }
--- a/src/entry/common/leaving/shutdownPlan.ts
+++ b/src/entry/common/leaving/shutdownPlan.ts
@@ -1,64 +1,67 @@
 /**
- * How a planned stop spends the time until the platform ends the process by force. Load pattern: entries are
- * stopped one after the other under load. Callers go by what a directory told them some seconds ago, so
- * requests go on arriving at an entry that has said that it leaves. Refused at once, they are late; taken
- * until the end, the last of them are cut off.
+ * Divides the time between the stop signal and the moment when the platform kills the process. Entries are
+ * stopped one after the other under load. Callers use directory information that is some seconds old, so
+ * requests keep arriving at an entry that has announced that it is leaving. If it refuses them at once, they are
+ * answered late. If it accepts them until the end, the last of them are cut off.
  *
- * So the entry serves for a quarter of the time, refuses what comes after it, and ends as soon as nothing is
- * in progress. Staying longer would serve the few that go by an old answer, at the price of all: entries that
- * are stopped two seconds after each other would all be leaving at once, and a region be left with none. It
- * ends a little before it would be ended, so that what is left sees its connections closed by choice and the
- * log tells how many these were.
+ * So the entry accepts requests for a quarter of the time after its announcement, refuses later ones, and exits
+ * as soon as nothing is in progress. A longer acceptance would serve only the few callers with old information,
+ * and entries that are stopped two seconds after each other would all be leaving at once, which leaves a region
+ * without entries. The entry exits shortly before it would be killed, so that the remaining connections are
+ * closed in an orderly way and the log reports their number.
  *
- * The last entry of a region that is still taking callers says nothing of its leaving until another one of
- * the region has started, or until the time that is left is needed to finish what it took. Without that, the
- * callers of a region whose entries are replaced two seconds after each other are led to other regions for the
- * three seconds that a process takes to finish and to start: their requests are slow there, or must not be
- * read there. Nothing is taken in the last five eighths of the time all the same: an answer that had to be begun
- * then, at a target that turned slow, was cut off in its middle when the process was ended.
+ * The last entry of a region that accepts callers delays its announcement until another entry of the region has
+ * started, or until the remaining time is needed to finish the accepted requests. Without the delay, the callers
+ * of a region whose entries are replaced two seconds after each other are directed to other regions for the three
+ * seconds that a process takes to finish and to start. Their requests are slow there, or must not be read there.
+ * In any case nothing is accepted in the last five eighths of the time. An answer that began in that period, at a
+ * target that had become slow, was cut off when the process was killed.
  */
 
-/** How an entry leaves, in milliseconds. */
-export interface LeavingTimes {
-	/** How long the last entry of a region goes on taking callers as if it had not been stopped. */
-	readonly staysMs: number;
-	/** How long new work is still taken from those who do not know yet, after it has said that it leaves. */
-	readonly servesMs: number;
-	/** From the signal, up to when new work is taken at all; the rest is for the longest answers to end. */
-	readonly takesMs: number;
-	/** How long it goes on listening after that, to say that it leaves. */
-	readonly refusesMs: number;
-	/** From the signal, when it ends at the latest, whatever is in progress. */
-	readonly endsMs: number;
+/** The phases of a planned stop, in milliseconds. */
+export interface ShutdownTimes {
+	/** Maximum time that the last entry of a region waits before it announces that it is leaving. */
+	readonly maxAnnounceDelayMs: number;
+	/** How long requests are accepted after the announcement, for callers that have not received it yet. */
+	readonly acceptAfterAnnounceMs: number;
+	/** Time from the signal until which requests may be accepted at all. The rest is left for the longest answers. */
+	readonly maxAcceptMs: number;
+	/** How long the entry keeps listening after that, to refuse requests and report that it is leaving. */
+	readonly refuseMs: number;
+	/** Time from the signal after which the process exits, even if requests are in progress. */
+	readonly exitMs: number;
 }
 
-/** A short question at a target that had turned slow took 3.8 s; a grace of eight seconds leaves such answers five. */
-const takingShare = 0.375;
-const servingShare = 0.25;
-const refusingShare = 0.03;
-const reserveMs = 300;
+/** Leaves five of eight seconds for the last answers: a short answer at a slow target took 3.8 s. */
+const acceptShare = 0.375;
+const acceptAfterAnnounceShare = 0.25;
+const refuseShare = 0.03;
+const exitReserveMs = 300;
 const msPerSecond = 1_000;
 
-/** Where nobody ends the process: callers go by a lookup for up to this long, in milliseconds. */
-const usualRefusingMs = 6_000;
+/** Without a kill timeout, requests are refused for as long as callers may use the result of a lookup. */
+const defaultRefuseMs = 6_000;
 
-/** Plans a stop; `killedAfterS` is undefined where the process may take its time. */
-export function planLeaving(killedAfterS: number | undefined): LeavingTimes {
+/** Plans a stop. `killedAfterS` is undefined if the platform does not kill the process. */
+export function planShutdown(killedAfterS: number | undefined): ShutdownTimes {
 	if (killedAfterS === undefined) {
-		const unbounded = { takesMs: Number.POSITIVE_INFINITY, endsMs: Number.POSITIVE_INFINITY };
-		return { staysMs: 0, servesMs: 0, refusesMs: usualRefusingMs, ...unbounded };
+		const unboundedTimes = { maxAcceptMs: Number.POSITIVE_INFINITY, exitMs: Number.POSITIVE_INFINITY };
+		return { maxAnnounceDelayMs: 0, acceptAfterAnnounceMs: 0, refuseMs: defaultRefuseMs, ...unboundedTimes };
 	}
-	const wholeMs = killedAfterS * msPerSecond;
+	const gracePeriodMs = killedAfterS * msPerSecond;
 	return {
-		staysMs: wholeMs * takingShare,
-		servesMs: wholeMs * servingShare,
-		takesMs: wholeMs * takingShare,
-		refusesMs: wholeMs * refusingShare,
-		endsMs: wholeMs - reserveMs,
+		maxAnnounceDelayMs: gracePeriodMs * acceptShare,
+		acceptAfterAnnounceMs: gracePeriodMs * acceptAfterAnnounceShare,
+		maxAcceptMs: gracePeriodMs * acceptShare,
+		refuseMs: gracePeriodMs * refuseShare,
+		exitMs: gracePeriodMs - exitReserveMs,
 	};
 }
 
-/** Up to when new work is taken, in milliseconds from the signal, if the entry says `saidMs` after it that it leaves. */
-export function computeTakingMs({ servesMs, takesMs }: LeavingTimes, saidMs: number): number {
-	return Math.max(saidMs, Math.min(saidMs + servesMs, takesMs));
+/** Computes until when requests are accepted. Both times are milliseconds since the signal. */
+export function computeAcceptMs(
+	{ acceptAfterAnnounceMs, maxAcceptMs }: ShutdownTimes,
+	announcedMs: number,
+): number {
+	return Math.max(announcedMs, Math.min(announcedMs + acceptAfterAnnounceMs, maxAcceptMs));
 }
--- a/src/entry/common/leaving/test/shutdownPlan.test.ts
+++ b/src/entry/common/leaving/test/shutdownPlan.test.ts
@@ -1,45 +1,46 @@
 import fc from 'fast-check';
-import { computeTakingMs, planLeaving } from '../shutdownPlan';
+import { computeAcceptMs, planShutdown } from '../shutdownPlan';
 
-describe('planLeaving', () => {
-	it('ends before the platform ends the process, whatever time it gives', () => {
+describe('planShutdown', () => {
+	it('exits before the platform kills the process, for any grace period', () => {
 		fc.assert(
 			fc.property(fc.double({ min: 1, max: 600, noNaN: true }), seconds => {
-				const times = planLeaving(seconds);
-				const { staysMs, refusesMs, endsMs } = times;
-				for (const saidMs of [0, staysMs / 2, staysMs]) {
-					expect(computeTakingMs(times, saidMs) + refusesMs).toBeLessThan(endsMs);
+				const times = planShutdown(seconds);
+				const { maxAnnounceDelayMs, refuseMs, exitMs } = times;
+				for (const announcedMs of [0, maxAnnounceDelayMs / 2, maxAnnounceDelayMs]) {
+					expect(computeAcceptMs(times, announcedMs) + refuseMs).toBeLessThan(exitMs);
 				}
-				expect(endsMs).toBeLessThan(seconds * 1_000);
+				expect(exitMs).toBeLessThan(seconds * 1_000);
 			}),
 			{ seed: 3 },
 		);
 	});
 
-	// Entries are stopped two seconds after each other, with eight seconds for each stop. If each stayed for most
-	// of its time, both entries of a region would be leaving at once, and its callers led to another region.
-	it('leaves a region’s second entry time to take over from the first', () => {
-		const times = planLeaving(8);
-		expect(computeTakingMs(times, 0) + times.refusesMs).toBeLessThan(2_500);
+	// Entries are stopped two seconds after each other, with eight seconds for each stop. If each accepted requests
+	// for most of its time, both entries of a region would be leaving at once, and its callers would be directed to
+	// another region.
+	it('finishes refusing early enough for the second entry of a region to take over', () => {
+		const times = planShutdown(8);
+		expect(computeAcceptMs(times, 0) + times.refuseMs).toBeLessThan(2_500);
 	});
 
-	// A process takes three seconds to finish what it has taken and to be started again. If the region's other entry
-	// is stopped meanwhile and leaves at once, callers are led to regions that may not read their requests.
-	it('keeps the last entry of a region until the one before it can be back', () => {
-		expect(planLeaving(8).staysMs).toBe(3_000);
+	// A process takes three seconds to finish its requests and to start again. If the region's other entry is stopped
+	// meanwhile and leaves at once, callers are directed to regions that may not read their requests.
+	it('delays the announcement of the last entry until the previous one can be back', () => {
+		expect(planShutdown(8).maxAnnounceDelayMs).toBe(3_000);
 	});
 
-	// An entry stays until its region's other one is back, and takes a question four seconds after the signal. The
-	// target has just turned slow, and the platform ends the process in the middle of the answer.
-	it('leaves five eighths of the time to finish what it took, however late it said that it leaves', () => {
-		const times = planLeaving(8);
-		const takingMs = [0, 1_500, 2_900, 3_000].map(saidMs => computeTakingMs(times, saidMs));
-		expect(takingMs).toEqual([2_000, 3_000, 3_000, 3_000]);
+	// An entry waits until the other entry of its region is back, and accepts a request four seconds after the
+	// signal. The target has just become slow, and the platform kills the process in the middle of the answer.
+	it('leaves five eighths of the time to finish accepted requests, however late the announcement was', () => {
+		const times = planShutdown(8);
+		const acceptMs = [0, 1_500, 2_900, 3_000].map(announcedMs => computeAcceptMs(times, announcedMs));
+		expect(acceptMs).toEqual([2_000, 3_000, 3_000, 3_000]);
 	});
 
-	it('takes its time where nobody ends the process', () => {
-		const times = planLeaving(undefined);
-		expect(times).toMatchObject({ staysMs: 0, refusesMs: 6_000, endsMs: Infinity });
-		expect(computeTakingMs(times, 0)).toBe(0);
+	it('has no time limit if the platform does not kill the process', () => {
+		const times = planShutdown(undefined);
+		expect(times).toMatchObject({ maxAnnounceDelayMs: 0, refuseMs: 6_000, exitMs: Infinity });
+		expect(computeAcceptMs(times, 0)).toBe(0);
 	});
 });
--- a/src/entry/common/lookup/rankEntries.ts
+++ b/src/entry/common/lookup/rankEntries.ts
@@ -1,12 +1,13 @@
 /**
- * Which entries a caller is told to use. No balancer stands before the entries, so this ranking is what
- * spreads callers over them. Load patterns: an entry comes or goes, and callers that ask again and again.
- * A fixed order sends all callers of a zone to one entry; a fresh draw at each lookup throws away their
- * connections; the entry with the most room, told to all, is overrun at once.
+ * Ranks the entries that a caller is told to use. There is no load balancer in front of the entries, so this
+ * ranking distributes callers among them, while entries start and stop and callers repeat their lookups. A fixed
+ * order would send all callers of a zone to one entry. A new random order for each lookup would discard the
+ * callers' connections. If all callers were given the entry with the most capacity, it would be overloaded at
+ * once.
  *
- * The caller's own zone goes first, its region next. Within these the order is drawn at random, weighted by
- * room. A caller stays with its entry while that one is good; when it is not, only a part of the callers
- * moves at each lookup.
+ * Entries in the caller's zone are ranked first, then those in its region. Within each tier the order is random,
+ * weighted by free capacity. A caller keeps its current entry while that entry is good. Otherwise only a share of
+ * the callers moves at each lookup.
  */
 
 import type { IRandom } from '../../../base/common/random';
@@ -15,158 +16,161 @@
 import { defaultLookupFigures } from '../scheduling/policy';
 import type { ServiceRoom } from '../scheduling/serviceScheduler';
 
-/** An entry that a caller could be sent to. */
-export interface KnownEntry {
+/** An entry that may be named to a caller. */
+export interface CandidateEntry {
 	readonly instance: InstanceId;
 	readonly region: RegionName;
 	readonly zone: ZoneName;
 	readonly isLeaving: boolean;
-	/** Not heard of for too long; named only after all others. */
+	/** Whether the entry has been silent for too long or could not be reached. Such entries are ranked last. */
 	readonly isSuspect: boolean;
-	/** What it last said of the service, if anything, and how old that is in milliseconds. */
+	/** The latest reported capacity for the service, if any. */
 	readonly room: ServiceRoom | undefined;
+	/** Age of the report, in milliseconds. */
 	readonly ageMs: number;
 }
 
-/** What is known of the caller. */
-export interface LookupQuestion {
+/** What is known about the caller. */
+export interface LookupContext {
 	readonly region: RegionName;
-	/** Undefined where the caller's zone is not known. */
+	/** Undefined if the caller's zone is unknown. */
 	readonly zone: ZoneName | undefined;
-	/** The entry that it uses already, if it said so. */
+	/** The entry that the caller uses now, if the lookup names it. */
 	readonly previous: InstanceId | undefined;
 }
 
-/** Where a caller stands that chooses by itself, and how many of its routes each region is a home of. */
-export interface UsableQuestion extends Pick<LookupQuestion, 'region' | 'zone'> {
+/** Location of a caller that chooses an entry itself, and the number of its routes that have each region as a home. */
+export interface UsableEntriesContext extends Pick<LookupContext, 'region' | 'zone'> {
 	readonly homes: ReadonlyMap<RegionName, number>;
 }
 
-interface WeighedEntry {
-	readonly entry: KnownEntry;
-	/** 0 for the caller's zone, 1 for its region, 2 elsewhere; suspected ones follow in the same order. */
+interface WeightedEntry {
+	readonly entry: CandidateEntry;
+	/** 0 for the caller's zone, 1 for its region, 2 for other regions. Suspected entries follow as 3 to 5. */
 	readonly tier: number;
 	weight: number;
-	/** Smaller goes first within a tier. */
-	key: number;
+	/** Entries with smaller keys are ranked first within a tier. */
+	sortKey: number;
 }
 
 const tierCount = 3;
 
-/** The entries to name to the caller, the best first. */
+/** Returns the entries to name to the caller, the best first. */
 export function rankEntries(
-	question: LookupQuestion,
-	entries: readonly KnownEntry[],
+	context: LookupContext,
+	entries: readonly CandidateEntry[],
 	random: IRandom,
-	figures: LookupFigures = defaultLookupFigures,
+	options: LookupFigures = defaultLookupFigures,
 ): readonly InstanceId[] {
-	const tiers = createTiers(question, entries);
-	const ranked: WeighedEntry[] = [];
+	const tiers = createTiers(context, entries);
+	const ranked: WeightedEntry[] = [];
 	for (const tier of tiers) {
-		if (ranked.length >= figures.mostNamed) {
+		if (ranked.length >= options.mostNamed) {
 			break;
 		}
-		weighEntries(tier, figures);
+		weighEntries(tier, options);
 		for (const item of tier) {
-			// An exponential draw divided by the weight: each is the smallest with a chance equal to its weight.
-			item.key = -Math.log(1 - random.pickFraction()) / item.weight;
+			// An exponential random number divided by the weight. The probability of the smallest key is proportional
+			// to the weight.
+			item.sortKey = -Math.log(1 - random.pickFraction()) / item.weight;
 		}
-		ranked.push(...tier.sort((left, right) => left.key - right.key));
+		ranked.push(...tier.sort((left, right) => left.sortKey - right.sortKey));
 	}
-	const kept = findKept(question, ranked, random, figures);
-	const ordered = kept === undefined ? ranked : [kept, ...ranked.filter(item => item !== kept)];
-	return ordered.slice(0, figures.mostNamed).map(item => item.entry.instance);
+	const preferred = findPreferredEntry(context, ranked, random, options);
+	const ordered =
+		preferred === undefined ? ranked : [preferred, ...ranked.filter(item => item !== preferred)];
+	return ordered.slice(0, options.mostNamed).map(item => item.entry.instance);
 }
 
 /**
- * The entries that a caller may choose from by itself: those of its zone, of its region, or of the regions
- * that may answer most of its bound routes; the first of these groups in which one is live. A caller that
- * draws one of them at random spreads evenly. Where nothing is known to be live, those that may be are better
- * than none.
+ * Returns the entries from which a caller may choose itself: those of its zone, else those of its region, else
+ * those of the regions that are homes of most of its routes. The first of these groups with a live entry is used.
+ * Callers that choose at random from it are distributed evenly. If no entry is known to be live, suspected entries
+ * are returned, which is better than returning none.
  *
- * While all entries of a region are replaced, its callers are led elsewhere. Led to a region that may not
- * answer them, their requests would be read where they must not be. Routes of one host may have no home in
- * common; then a region that may see most of them does the least harm.
+ * While all entries of a region are being replaced, its callers are directed to other regions. In a region that
+ * may not answer them, their requests would be read where this is forbidden. The routes of one host may have no
+ * home region in common. Then a region that may read most of them violates the fewest restrictions.
  */
-export function listUsable<TEntry extends KnownEntry>(
+export function listUsableEntries<TEntry extends CandidateEntry>(
 	entries: readonly TEntry[],
-	{ region, zone, homes }: UsableQuestion,
+	{ region, zone, homes }: UsableEntriesContext,
 ): readonly TEntry[] {
-	const staying = entries.filter(entry => !entry.isLeaving);
-	const live = staying.filter(entry => !entry.isSuspect);
+	const notLeaving = entries.filter(entry => !entry.isLeaving);
+	const live = notLeaving.filter(entry => !entry.isSuspect);
 	const groups = [
 		live.filter(entry => entry.region === region && entry.zone === zone),
 		live.filter(entry => entry.region === region),
-		listOfMostRoutes(live, homes),
-		staying,
+		listEntriesWithMostRoutes(live, homes),
+		notLeaving,
 	];
 	return groups.find(group => group.length > 0) ?? [];
 }
 
-function listOfMostRoutes<TEntry extends KnownEntry>(
+function listEntriesWithMostRoutes<TEntry extends CandidateEntry>(
 	entries: readonly TEntry[],
 	homes: ReadonlyMap<RegionName, number>,
 ): readonly TEntry[] {
 	const countRoutes = ({ region }: TEntry): number => homes.get(region) ?? 0;
-	const most = Math.max(...entries.map(countRoutes));
-	return entries.filter(entry => countRoutes(entry) === most);
+	const maxRoutes = Math.max(...entries.map(countRoutes));
+	return entries.filter(entry => countRoutes(entry) === maxRoutes);
 }
 
-/** The entries that are not leaving, by tier. */
-function createTiers(question: LookupQuestion, entries: readonly KnownEntry[]): WeighedEntry[][] {
-	const tiers: WeighedEntry[][] = Array.from({ length: 2 * tierCount }, () => []);
+/** Groups the entries that are not leaving by tier. */
+function createTiers(context: LookupContext, entries: readonly CandidateEntry[]): WeightedEntry[][] {
+	const tiers: WeightedEntry[][] = Array.from({ length: 2 * tierCount }, () => []);
 	for (const entry of entries) {
 		if (!entry.isLeaving) {
-			const tier = computeTier(entry, question);
-			tiers[tier]?.push({ entry, tier, weight: 1, key: 0 });
+			const tier = computeTier(entry, context);
+			tiers[tier]?.push({ entry, tier, weight: 1, sortKey: 0 });
 		}
 	}
 	return tiers;
 }
 
-function computeTier(entry: KnownEntry, { region, zone }: LookupQuestion): number {
-	const suspected = entry.isSuspect ? tierCount : 0;
+function computeTier(entry: CandidateEntry, { region, zone }: LookupContext): number {
+	const firstTier = entry.isSuspect ? tierCount : 0;
 	if (entry.region !== region) {
-		return suspected + 2;
+		return firstTier + 2;
 	}
-	return suspected + (entry.zone === zone ? 0 : 1);
+	return firstTier + (entry.zone === zone ? 0 : 1);
 }
 
-/** Weighs by room; what is not known, or known from long ago, counts as the mean. */
-function weighEntries(weighed: readonly WeighedEntry[], figures: LookupFigures): void {
-	const told = weighed.filter(item => item.entry.room !== undefined);
-	for (const item of told) {
-		item.weight = computeWeight(item.entry.room, figures);
+/** Sets weights from the reported capacities. An unknown capacity counts as the mean, and an old one fades to it. */
+function weighEntries(items: readonly WeightedEntry[], options: LookupFigures): void {
+	const reported = items.filter(item => item.entry.room !== undefined);
+	for (const item of reported) {
+		item.weight = computeWeight(item.entry.room, options);
 	}
-	const mean = computeMean(told);
-	for (const item of weighed) {
-		const belief = item.entry.room === undefined ? 0 : Math.exp(-item.entry.ageMs / figures.roomFadeMs);
-		item.weight = mean + (item.weight - mean) * belief;
+	const mean = computeMean(reported);
+	for (const item of items) {
+		const reportWeight = item.entry.room === undefined ? 0 : Math.exp(-item.entry.ageMs / options.roomFadeMs);
+		item.weight = mean + (item.weight - mean) * reportWeight;
 	}
 }
 
-function computeMean(items: readonly WeighedEntry[]): number {
+function computeMean(items: readonly WeightedEntry[]): number {
 	return items.length === 0 ? 1 : items.reduce((sum, item) => sum + item.weight, 0) / items.length;
 }
 
-/** Free slots and one, so that a full entry keeps a little weight, less the longer its wait. */
+/** One plus the free slots, reduced by the wait. The one keeps the weight of a full entry above zero. */
 function computeWeight(room: ServiceRoom | undefined, { halvingWaitMs }: LookupFigures): number {
 	return room === undefined ? 1 : (room.freeSlots + 1) / (1 + room.waitMs / halvingWaitMs);
 }
 
-/** The caller's present entry where it should stay first. */
-function findKept(
-	{ previous }: LookupQuestion,
-	ranked: readonly WeighedEntry[],
+/** Returns the caller's current entry if it should be ranked first. */
+function findPreferredEntry(
+	{ previous }: LookupContext,
+	ranked: readonly WeightedEntry[],
 	random: IRandom,
-	figures: LookupFigures,
-): WeighedEntry | undefined {
-	const present = ranked.find(item => item.entry.instance === previous);
+	options: LookupFigures,
+): WeightedEntry | undefined {
+	const current = ranked.find(item => item.entry.instance === previous);
 	const [best] = ranked;
-	if (present === undefined || best === undefined || present.entry.isSuspect) {
+	if (current === undefined || best === undefined || current.entry.isSuspect) {
 		return undefined;
 	}
 	const mean = computeMean(ranked.filter(item => item.tier === best.tier));
-	const isGood = present.tier === best.tier && present.weight >= mean * figures.poorShare;
-	return isGood || random.pickFraction() >= figures.moveShare ? present : undefined;
+	const isGood = current.tier === best.tier && current.weight >= mean * options.poorShare;
+	return isGood || random.pickFraction() >= options.moveShare ? current : undefined;
 }
--- a/src/entry/common/lookup/test/rankEntries.test.ts
+++ b/src/entry/common/lookup/test/rankEntries.test.ts
@@ -1,12 +1,12 @@
 import { SeededRandom } from '../../../../base/common/random';
 import type { InstanceId, RegionName, ZoneName } from '../../../../core/ids/common/ids';
-import type { KnownEntry, LookupQuestion } from '../rankEntries';
-import { listUsable, rankEntries } from '../rankEntries';
+import type { CandidateEntry, LookupContext } from '../rankEntries';
+import { listUsableEntries, rankEntries } from '../rankEntries';
 
 const khomas = 'khomas' as RegionName;
 const zoneA = 'khomas-a' as ZoneName;
 
-function createEntry(instance: string, more: Partial<KnownEntry> = {}): KnownEntry {
+function createEntry(instance: string, more: Partial<CandidateEntry> = {}): CandidateEntry {
 	return {
 		instance: instance as InstanceId,
 		region: khomas,
@@ -19,21 +19,21 @@
 	};
 }
 
-const question: LookupQuestion = { region: khomas, zone: zoneA, previous: undefined };
+const context: LookupContext = { region: khomas, zone: zoneA, previous: undefined };
 
-/** How many of a thousand callers are sent to each entry first. */
-function countFirsts(entries: readonly KnownEntry[], asked = question): Map<string, number> {
+/** Counts for each entry how many of a thousand callers get it ranked first. */
+function countFirsts(entries: readonly CandidateEntry[], lookup = context): Map<string, number> {
 	const random = new SeededRandom(3);
 	const firsts = new Map<string, number>();
 	for (let caller = 0; caller < 1_000; caller++) {
-		const [first = 'none'] = rankEntries(asked, entries, random);
+		const [first = 'none'] = rankEntries(lookup, entries, random);
 		firsts.set(first, (firsts.get(first) ?? 0) + 1);
 	}
 	return firsts;
 }
 
 describe('rankEntries', () => {
-	it('names the zone first, the region next, suspected ones last and leaving ones never', () => {
+	it('ranks the zone first, then the region, suspected entries last, and omits leaving entries', () => {
 		const entries = [
 			createEntry('far', { region: 'erongo' as RegionName, zone: 'erongo-a' as ZoneName }),
 			createEntry('beside', { zone: 'khomas-b' as ZoneName }),
@@ -41,10 +41,10 @@
 			createEntry('leaving', { isLeaving: true }),
 			createEntry('near'),
 		];
-		expect(rankEntries(question, entries, new SeededRandom(1))).toEqual(['near', 'beside', 'far', 'silent']);
+		expect(rankEntries(context, entries, new SeededRandom(1))).toEqual(['near', 'beside', 'far', 'silent']);
 	});
 
-	it('spreads callers by room, and takes old news for the mean', () => {
+	it('distributes callers by capacity, and fades old reports to the mean', () => {
 		const full = { waitMs: 500, freeSlots: 0, running: 10, queued: 30 };
 		const fresh = countFirsts([createEntry('a'), createEntry('b', { room: full })]);
 		expect(fresh.get('b') ?? 0).toBeLessThan(100);
@@ -52,36 +52,37 @@
 		expect(old.get('b')).toBeGreaterThan(250);
 	});
 
-	it('keeps a caller where it is while that is good, whoever else has more room', () => {
+	it('keeps a caller at its entry while that is good, even if another entry has more capacity', () => {
 		const entries = [
 			createEntry('a', { room: { waitMs: 0, freeSlots: 9, running: 0, queued: 0 } }),
 			createEntry('b'),
 		];
-		const firsts = countFirsts(entries, { ...question, previous: 'a' as InstanceId });
+		const firsts = countFirsts(entries, { ...context, previous: 'a' as InstanceId });
 		expect(firsts.get('a')).toBe(1_000);
 	});
 
-	// An entry fills up and the others have room. If every caller moved at its next lookup, the others would
-	// be overrun at once and callers would move back and forth, each time on new connections.
-	it('moves only a part of the callers away from an entry that has no room left', () => {
+	// An entry fills up while other entries have capacity. If every caller moved at its next lookup, those entries
+	// would be overloaded at once, and callers would move back and forth, each time with new connections.
+	it('moves only a share of the callers away from a full entry', () => {
 		const entries = [
 			createEntry('a', { room: { waitMs: 2_000, freeSlots: 0, running: 20, queued: 9 } }),
 			createEntry('b'),
 		];
-		const firsts = countFirsts(entries, { ...question, previous: 'a' as InstanceId });
+		const firsts = countFirsts(entries, { ...context, previous: 'a' as InstanceId });
 		expect(firsts.get('b')).toBeGreaterThan(150);
 		expect(firsts.get('b')).toBeLessThan(350);
 	});
 
-	// An entry goes silent and its callers keep asking. They must not be held at it for the sake of staying.
+	// An entry becomes silent while its callers repeat their lookups. The preference for the current entry must not
+	// keep them there.
 	it('moves all callers away from a suspected entry', () => {
 		const entries = [createEntry('a', { isSuspect: true }), createEntry('b')];
-		const firsts = countFirsts(entries, { ...question, previous: 'a' as InstanceId });
+		const firsts = countFirsts(entries, { ...context, previous: 'a' as InstanceId });
 		expect(firsts.get('b')).toBe(1_000);
 	});
 });
 
-describe('listUsable', () => {
+describe('listUsableEntries', () => {
 	const away = { region: 'erongo' as RegionName, zone: 'erongo-a' as ZoneName };
 	const home = createEntry('home', { region: 'oshana' as RegionName, zone: 'oshana-a' as ZoneName });
 	const entries = [createEntry('near'), createEntry('away', away), home];
@@ -90,31 +91,37 @@
 		['oshana', 2],
 	] as [RegionName, number][]);
 
-	it('names the entries of the caller’s zone', () => {
-		expect(listUsable(entries, { ...question, homes }).map(({ instance }) => instance)).toEqual(['near']);
+	it('returns the entries of the caller’s zone', () => {
+		expect(listUsableEntries(entries, { ...context, homes }).map(({ instance }) => instance)).toEqual([
+			'near',
+		]);
 	});
 
-	// Both entries of a region are being replaced at once. Its callers must not be led to a region that may not
-	// see their requests while one that may has entries.
-	it('leads callers whose own region has none to a home of their requests', () => {
+	// Both entries of a region are being replaced at once. Its callers must not be directed to a region that may not
+	// read their requests while a region that may has entries.
+	it('returns entries of a home region if the region of the caller has none', () => {
 		const leaving = [createEntry('near', { isLeaving: true }), ...entries.slice(1)];
-		expect(listUsable(leaving, { ...question, homes }).map(({ instance }) => instance)).toEqual(['home']);
+		expect(listUsableEntries(leaving, { ...context, homes }).map(({ instance }) => instance)).toEqual([
+			'home',
+		]);
 	});
 
-	// One route of a host is bound to a single region, all the others to two. Both entries of that region are
-	// being replaced. No region may see all requests of the host, but the second home may see most of them.
-	it('leads them where most of what they can ask may be answered', () => {
+	// One route of a host has a single home region, the other routes have two. Both entries of the single home are
+	// being replaced. No remaining region may read all requests of the host, but the second home may read most.
+	it('returns entries of the region that may answer most routes', () => {
 		const leaving = [createEntry('near', { isLeaving: true }), ...entries.slice(1)];
 		const uneven = new Map([
 			['khomas', 3],
 			['oshana', 2],
 		] as [RegionName, number][]);
-		const named = listUsable(leaving, { ...question, homes: uneven });
+		const named = listUsableEntries(leaving, { ...context, homes: uneven });
 		expect(named.map(({ instance }) => instance)).toEqual(['home']);
 	});
 
-	it('leads them anywhere where nothing else lives', () => {
+	it('returns entries of any region if no other entry is live', () => {
 		const others = [createEntry('near', { isSuspect: true }), entries[1]!];
-		expect(listUsable(others, { ...question, homes }).map(({ instance }) => instance)).toEqual(['away']);
+		expect(listUsableEntries(others, { ...context, homes }).map(({ instance }) => instance)).toEqual([
+			'away',
+		]);
 	});
 });
--- a/src/entry/common/placement/callPath.ts
+++ b/src/entry/common/placement/callPath.ts
@@ -1,9 +1,9 @@
 /**
- * The path of a call as rules see it. Services read paths leniently: many take `/%70ay`, `/x/../pay` and
- * `//pay` for `/pay`. If the rules read them literally, such a spelling of a payment would miss its
- * at-most-once rule, fall to the service's default and be retried: the customer is charged twice, and the
- * journal shows an ordinary retry. So percent-encodings are decoded before a rule is matched, and paths
- * that different readers resolve differently are refused.
+ * Normalizes the path of a call before it is matched against rules. Many services read paths leniently and take
+ * `/%70ay`, `/x/../pay` and `//pay` for `/pay`. If the rules matched paths literally, such a spelling of a payment
+ * would miss its at-most-once rule, fall back to the service's default and be retried. The customer would be
+ * charged twice, and the journal would show an ordinary retry. So percent-encodings are decoded before a rule is
+ * matched, and paths that different servers resolve differently are refused.
  */
 
 import type { Result } from 'neverthrow';
@@ -19,7 +19,7 @@
 	return err(createRequestError(ErrorKind.UnknownRoute, `the path ${problem}`));
 }
 
-/** Gives the decoded path without query and without a trailing slash, or why it is refused. */
+/** Returns the decoded path without query and trailing slash, or an error that explains why it is refused. */
 export function parseCallPath(pathAndQuery: string): Result<string, RequestError> {
 	const path = pathAndQuery.split(/[?#]/, 1)[0] ?? '';
 	if (!path.startsWith('/')) {
@@ -33,15 +33,15 @@
 	try {
 		segments = trimmed.split('/').map(decodeURIComponent);
 	} catch {
-		return refusePath('holds a broken percent-encoding');
+		return refusePath('contains an invalid percent-encoding');
 	}
 	if (segments.some(isAmbiguousSegment)) {
-		return refusePath('has an empty or a dot segment, or an encoded separator');
+		return refusePath('contains an empty segment, a dot segment or an ambiguous character');
 	}
 	return ok(`/${segments.join('/')}`);
 }
 
-/** Whether a path from `parseCallPath` is matched by a rule's path, whose trailing `*` matches any rest. */
+/** Whether a path from `parseCallPath` matches the path of a rule. A trailing `*` in the rule matches any suffix. */
 export function matchPath(rulePath: string, path: string): boolean {
 	if (!rulePath.endsWith('*')) {
 		return path === rulePath || `${path}/` === rulePath;
--- a/src/entry/common/placement/callPlan.ts
+++ b/src/entry/common/placement/callPlan.ts
@@ -1,7 +1,7 @@
 /**
- * What the manifest says of one call: where it may be answered, whether it may be repeated, how long it
- * may take. Everything here is decided from the head, before a byte of the body is read, since a body
- * that must stay in its region must not even be read outside it.
+ * Determines what the manifest prescribes for one call: which regions may answer it, whether it may be repeated
+ * and how long it may take. All of this is decided from the head, before any byte of the body is read, because
+ * a body that must stay in its region must not be read outside of it.
  */
 
 import type { Result } from 'neverthrow';
@@ -14,49 +14,55 @@
 import { matchPath, parseCallPath } from './callPath';
 import type { RoutedCall } from '../callers/callHead';
 import type { ManifestIndex } from './manifestIndex';
-import { planRouted } from './routedPlan';
+import { planRoutedCall } from './routedPlan';
 
-/** The parts of a request's head that placement looks at. */
+/** The parts of a request's head that placement depends on. */
 export interface Call {
 	readonly service: ServiceName;
 	readonly organisation: OrganisationName;
 	readonly method: string;
-	/** Path and query below the service. */
+	/** Path and query, without the service prefix. */
 	readonly path: string;
-	/** The route of a call that came by host and path. */
+	/** The route of a call that was addressed by host and path. */
 	readonly routed?: Pick<RoutedCall, 'route'> | undefined;
 }
 
-/** What holds for one call under one manifest. */
+/** The rules that apply to one call under one manifest. */
 export interface CallPlan {
 	readonly service: ManifestService;
 	readonly organisation: ManifestOrganisation;
 	readonly repeat: RepeatRule;
 	readonly unticketed: UnticketedRule;
-	/** The only region that may answer it, or undefined where any may. */
+	/** The only region that may answer the call, or undefined if any region may. */
 	readonly homeRegion: RegionName | undefined;
-	/** The regions that may answer a routed call, or undefined where any may. */
+	/** The regions that may answer a routed call, or undefined if any region may. */
 	readonly allowedRegions?: ReadonlySet<RegionName>;
-	/** Limits for each request class. */
+	/** Time limits for each request class. */
 	readonly classes: ManifestService['classes'];
 }
 
-/** How a call came from another entry. */
-export interface ForwardedFrom {
-	/** Forwarding hops, the one that brought it here included. */
+/** The origin of a call that another entry forwarded. */
+export interface ForwardOrigin {
+	/** Number of forwarding hops, including the one to this entry. */
 	readonly hops: number;
+	/** The region of the entry that forwarded the call. */
 	readonly region: RegionName;
 }
 
-const allowedHops = 1;
+const requiredHops = 1;
 
 type CallRules = Pick<CallPlan, 'repeat' | 'unticketed'> & { readonly residency: ResidencyRule };
 
-function findRules(service: ManifestService, method: string, path: string, fold: FoldFunction): CallRules {
+function findRules(
+	service: ManifestService,
+	method: string,
+	path: string,
+	normalizeCase: CaseNormalizer,
+): CallRules {
 	const rule = service.rules.find(
 		candidate =>
 			(candidate.method === '*' || candidate.method === method) &&
-			matchPath(fold(candidate.path), fold(path)),
+			matchPath(normalizeCase(candidate.path), normalizeCase(path)),
 	);
 	return {
 		repeat: rule?.repeat ?? service.repeat,
@@ -65,15 +71,16 @@
 	};
 }
 
-type FoldFunction = (path: string) => string;
+type CaseNormalizer = (path: string) => string;
 
-const keepCase: FoldFunction = path => path;
-const foldCase: FoldFunction = path => path.toLowerCase();
+const keepCase: CaseNormalizer = path => path;
+const foldCase: CaseNormalizer = path => path.toLowerCase();
 
 /**
- * Some services tell `/Pay` from `/pay` and some do not, and the manifest does not say which. So the rules
- * are read both ways and the stricter answer holds: for a service of the second sort the literal reading
- * alone would let `/Pay` be retried, and for one of the first sort the other alone could loosen its rule.
+ * Matches the rules both case-sensitively and case-insensitively and combines the results into the stricter one.
+ * Some services distinguish `/Pay` from `/pay`, others do not, and the manifest does not state which. For a
+ * case-insensitive service, case-sensitive matching alone would allow `/Pay` to be retried. For a case-sensitive
+ * service, case-insensitive matching alone could select a less strict rule.
  */
 function findStrictestRules(service: ManifestService, method: string, path: string): CallRules {
 	const literal = findRules(service, method, path, keepCase);
@@ -112,7 +119,9 @@
 	return err(createRequestError(kind, detail));
 }
 
-/** Finds what holds for a call at an entry of `ownRegion`; a call bound to another region is refused. */
+/**
+ * Determines the plan of a call at an entry in `ownRegion`. A call that only another region may answer is refused.
+ */
 export function planCall(
 	index: ManifestIndex,
 	ownRegion: RegionName,
@@ -120,14 +129,14 @@
 ): Result<CallPlan, RequestError> {
 	const service = index.findService(call.service);
 	if (service === undefined) {
-		return refuseCall(ErrorKind.UnknownService, `no service ${call.service}`);
+		return refuseCall(ErrorKind.UnknownService, `the manifest has no service ${call.service}`);
 	}
 	const organisation = index.findOrganisation(call.organisation);
 	if (organisation === undefined) {
-		return refuseCall(ErrorKind.OrganisationUnknown, `no organisation ${call.organisation}`);
+		return refuseCall(ErrorKind.OrganisationUnknown, `the manifest has no organisation ${call.organisation}`);
 	}
 	if (call.routed !== undefined) {
-		return ok(planRouted(call.routed.route, service, organisation));
+		return ok(planRoutedCall(call.routed.route, service, organisation));
 	}
 	const path = parseCallPath(call.path);
 	if (path.isErr()) {
@@ -135,36 +144,42 @@
 	}
 	const plan = createPlan(service, organisation, findStrictestRules(service, call.method, path.value));
 	if (plan.homeRegion !== undefined && plan.homeRegion !== ownRegion) {
-		return refuseCall(ErrorKind.WrongRegion, `bound to ${plan.homeRegion}, this entry is in ${ownRegion}`);
+		return refuseCall(
+			ErrorKind.WrongRegion,
+			`the call must be answered in ${plan.homeRegion}, this entry is in ${ownRegion}`,
+		);
 	}
 	return ok(plan);
 }
 
-/** Whether a region may see and answer the call. */
+/** Whether a region may read and answer the call. */
 export function isAllowedRegion({ allowedRegions }: CallPlan, region: RegionName): boolean {
 	return allowedRegions === undefined || allowedRegions.has(region);
 }
 
 /**
  * Checks a call that another entry forwarded, after `planCall` with this entry's own manifest. Two entries
- * with different manifests may disagree on a call's region; the call is served only where the sender's
- * manifest let it go and this one lets it in, so whichever of the two is newer is obeyed. A forwarded call
- * is never forwarded again: two full regions that each believe the other is empty would otherwise pass it
- * to and fro, seen as link traffic that grows while nothing is answered.
+ * with different manifests may disagree on the region of a call. The call is served only if the manifests of
+ * both the sender and this entry allow it, so that the newer of the two is always respected. A forwarded call
+ * is never forwarded again. Otherwise two full regions that each consider the other one empty would pass it
+ * back and forth, which shows as growing link traffic without any answers.
  */
-export function checkForwarded(
+export function checkForwardedCall(
 	plan: CallPlan,
-	from: ForwardedFrom,
+	origin: ForwardOrigin,
 	ownRegion: RegionName,
 ): Result<CallPlan, RequestError> {
-	if (from.hops !== allowedHops) {
-		return refuseCall(ErrorKind.MalformedHeader, `${from.hops} forwarding hops, only 1 is allowed`);
+	if (origin.hops !== requiredHops) {
+		return refuseCall(ErrorKind.MalformedHeader, `${origin.hops} forwarding hops, exactly 1 is required`);
 	}
-	if (plan.homeRegion !== undefined && (plan.homeRegion !== ownRegion || from.region !== ownRegion)) {
-		return refuseCall(ErrorKind.WrongRegion, `bound to ${plan.homeRegion}, came from ${from.region}`);
+	if (plan.homeRegion !== undefined && (plan.homeRegion !== ownRegion || origin.region !== ownRegion)) {
+		return refuseCall(
+			ErrorKind.WrongRegion,
+			`the call must be answered in ${plan.homeRegion}, it was forwarded from ${origin.region}`,
+		);
 	}
 	if (!isAllowedRegion(plan, ownRegion)) {
-		return refuseCall(ErrorKind.WrongRegion, `its route keeps it out of ${ownRegion}`);
+		return refuseCall(ErrorKind.WrongRegion, `the route does not allow region ${ownRegion}`);
 	}
 	return ok(plan);
 }
--- a/src/entry/common/placement/manifestIndex.ts
+++ b/src/entry/common/placement/manifestIndex.ts
@@ -1,7 +1,7 @@
 /**
- * A manifest prepared for lookups. A request asks for its service and organisation by name; scanning 540
- * organisations for each of some thousand requests a second would cost more than the rest of the head's
- * checks, so the names are put into maps once for each accepted manifest.
+ * A manifest indexed for lookups by name. Each request looks up its service and organisation. Scanning 540
+ * organisations for each of some thousand requests per second would cost more than all other checks of the
+ * head, so the maps are built once for each accepted manifest.
  */
 
 import type { OrganisationName, RegionName, ServiceName, TargetId } from '../../../core/ids/common/ids';
@@ -14,12 +14,12 @@
 import type { ManifestRoute } from '../../../core/manifest/common/routes';
 import { RouteTable } from '../routing/routeTable';
 
-/** One accepted manifest by name. */
+/** The index of one accepted manifest. */
 export class ManifestIndex {
 	private readonly services: ReadonlyMap<ServiceName, ManifestService>;
 	private readonly organisations: ReadonlyMap<OrganisationName, ManifestOrganisation>;
 	private readonly targets: ReadonlyMap<TargetId, ManifestTarget>;
-	private readonly targetsOfServices = new Map<ServiceName, ManifestTarget[]>();
+	private readonly targetsByService = new Map<ServiceName, ManifestTarget[]>();
 	private readonly routes: RouteTable;
 
 	constructor(readonly manifest: Manifest) {
@@ -30,17 +30,17 @@
 		);
 		this.targets = new Map(manifest.targets.map(target => [target.id, target]));
 		for (const target of manifest.targets) {
-			const known = this.targetsOfServices.get(target.service) ?? [];
-			this.targetsOfServices.set(target.service, [...known, target]);
+			const serviceTargets = this.targetsByService.get(target.service) ?? [];
+			this.targetsByService.set(target.service, [...serviceTargets, target]);
 		}
 	}
 
-	/** The route of a request, by the host that it names and the path that it asks for. */
+	/** Returns the route of a request by its host and path. */
 	findRoute(host: string, path: string): ManifestRoute | undefined {
 		return this.routes.find(host, path);
 	}
 
-	/** The regions that may answer every request to a host; undefined where all may. */
+	/** Returns the home regions of the routes of a host, each with the number of its routes. */
 	countHomes(host: string): ReadonlyMap<RegionName, number> {
 		return this.routes.countHomes(host);
 	}
@@ -57,8 +57,8 @@
 		return this.targets.get(id);
 	}
 
-	/** The targets of a service in a region, in the order of the manifest. */
+	/** Returns the targets of a service in a region, in the order of the manifest. */
 	listTargets(service: ServiceName, region: RegionName): readonly ManifestTarget[] {
-		return (this.targetsOfServices.get(service) ?? []).filter(target => target.region === region);
+		return (this.targetsByService.get(service) ?? []).filter(target => target.region === region);
 	}
 }
--- a/src/entry/common/placement/routedPlan.ts
+++ b/src/entry/common/placement/routedPlan.ts
@@ -1,6 +1,6 @@
 /**
- * What a route says of a call: whether it may be repeated, where it may be answered, and how long a target
- * may be silent.
+ * Derives the plan of a call from its route: whether the call may be repeated, which regions may answer it, and
+ * how long a target may be silent.
  */
 
 import type { ManifestOrganisation, ManifestService } from '../../../core/manifest/common/manifest';
@@ -10,55 +10,56 @@
 import { RequestClass } from '../../../core/requests/common/requestClass';
 import type { CallPlan } from './callPlan';
 
-type SilenceLimits = ManifestService['classes'][RequestClass];
+type ClassTimeouts = ManifestService['classes'][RequestClass];
 
 /**
- * Silence before the first byte after which a request that may run again is tried elsewhere, in aims. A busy
- * engine answers late; given up then, its prompt is read a second time at another busy engine. Three times the
- * aim is longer than a line before an engine lasts, and leaves most of a deadline for another attempt.
+ * Multiple of the first-byte aim after which a repeatable request without a first byte is retried on another
+ * target. A busy engine answers late. A retry at that point makes another busy engine read the prompt again.
+ * Three times the aim is longer than requests queue at an engine, and leaves most of the deadline for another
+ * attempt.
  */
-const aimsOfSilence = 3;
-const leastSilenceMs = 600;
+const firstByteTimeoutFactor = 3;
+const minSilenceTimeoutMs = 600;
 
-/** Silence between two events after which a stream that may go on elsewhere does, in longest pauses. */
-const gapsOfSilence = 3;
-const usualGapMs = 1_000;
+/** Multiple of the longest expected gap between events after which a resumable stream continues on another target. */
+const idleTimeoutFactor = 3;
+const defaultMaxGapMs = 1_000;
 
-/** The plan of a routed call. */
-export function planRouted(
+/** Creates the plan of a call that was matched to a route. */
+export function planRoutedCall(
 	route: ManifestRoute,
 	service: ManifestService,
 	organisation: ManifestOrganisation,
 ): CallPlan {
-	const limits = computeSilenceLimits(route);
+	const timeouts = computeTimeouts(route);
 	return {
 		service,
 		organisation,
 		repeat: isRepeatable(route) ? RepeatRule.Idempotent : RepeatRule.AtMostOnce,
-		// The entry itself never sends such a call a second time; the caller's own resends are new requests.
+		// The entry never retries such a call, and a call that the caller sends again is a new request.
 		unticketed: UnticketedRule.RunOnce,
 		homeRegion: undefined,
 		...(route.homes.length === 0 ? {} : { allowedRegions: new Set(route.homes) }),
 		classes: {
-			[RequestClass.Urgent]: limits,
-			[RequestClass.Normal]: limits,
-			[RequestClass.Draft]: limits,
+			[RequestClass.Urgent]: timeouts,
+			[RequestClass.Normal]: timeouts,
+			[RequestClass.Draft]: timeouts,
 		},
 	};
 }
 
 /**
- * A request that may run once gains nothing from being given up early: its outcome would be unknown, and its
- * answer may still come. It is waited for until its deadline.
+ * Computes the timeouts of a route. A request that must not run twice gets the whole deadline, because after an
+ * earlier timeout its outcome would be unknown although the answer may still arrive.
  */
-function computeSilenceLimits(route: ManifestRoute): SilenceLimits {
-	const { timeoutMs, firstByteAimMs, longestGapMs = usualGapMs } = route;
+function computeTimeouts(route: ManifestRoute): ClassTimeouts {
+	const { timeoutMs, firstByteAimMs, longestGapMs = defaultMaxGapMs } = route;
 	if (!isRepeatable(route)) {
 		return { defaultDeadlineMs: timeoutMs, firstByteMs: timeoutMs, idleMs: timeoutMs };
 	}
 	return {
 		defaultDeadlineMs: timeoutMs,
-		firstByteMs: Math.max(leastSilenceMs, firstByteAimMs * aimsOfSilence),
-		idleMs: Math.max(leastSilenceMs, longestGapMs * gapsOfSilence),
+		firstByteMs: Math.max(minSilenceTimeoutMs, firstByteAimMs * firstByteTimeoutFactor),
+		idleMs: Math.max(minSilenceTimeoutMs, longestGapMs * idleTimeoutFactor),
 	};
 }
--- a/src/entry/common/placement/test/callPlan.test.ts
+++ b/src/entry/common/placement/test/callPlan.test.ts
@@ -3,7 +3,7 @@
 import type { OrganisationName, RegionName, ServiceName } from '../../../../core/ids/common/ids';
 import { checkManifest, RepeatRule, UnticketedRule } from '../../../../core/manifest/common/manifest';
 import type { Call } from '../callPlan';
-import { checkForwarded, planCall } from '../callPlan';
+import { checkForwardedCall, planCall } from '../callPlan';
 import { ManifestIndex } from '../manifestIndex';
 
 const kingston = 'kingston' as RegionName;
@@ -61,7 +61,7 @@
 const index = createIndex();
 
 describe('planCall', () => {
-	it('takes the first matching rule, and the service where none matches', () => {
+	it('applies the first matching rule, or the defaults of the service if none matches', () => {
 		const plan = planCall(index, kingston, createCall({ method: 'POST', path: '/payments?x=/a/..' }));
 		expect(plan._unsafeUnwrap()).toMatchObject({
 			repeat: RepeatRule.AtMostOnce,
@@ -74,7 +74,7 @@
 		});
 	});
 
-	it('leaves a call free whose rule says any region', () => {
+	it('allows any region for a call whose rule has residency any', () => {
 		const visits = createCall({ path: '/visits/7' });
 		expect(planCall(index, ocho, visits)._unsafeUnwrap().homeRegion).toBeUndefined();
 	});
@@ -96,14 +96,17 @@
 		['/payments/', RepeatRule.AtMostOnce, kingston],
 		['/Payments', RepeatRule.AtMostOnce, kingston],
 		['/', RepeatRule.Idempotent, kingston],
-	])('reads the path %s, the stricter way where its case is in doubt', (path, repeat, homeRegion) => {
-		const plan = planCall(index, kingston, createCall({ path }))._unsafeUnwrap();
-		expect(plan).toMatchObject({ repeat, homeRegion });
-	});
+	])(
+		'matches the path %s, by the stricter rule if upper and lower case differ',
+		(path, repeat, homeRegion) => {
+			const plan = planCall(index, kingston, createCall({ path }))._unsafeUnwrap();
+			expect(plan).toMatchObject({ repeat, homeRegion });
+		},
+	);
 
-	// A caller spells the path of a payment in another way that the service takes for the same. If the rule
-	// missed it, the payment would be retried after a broken attempt and the customer charged twice.
-	it('knows a payment under every spelling of its path, or refuses it', () => {
+	// A caller uses another spelling of a payment's path that the service treats as equal. If the rule did not match
+	// it, the payment would be retried after a failed attempt and the customer charged twice.
+	it('recognizes a payment in every spelling of its path, or refuses it', () => {
 		const spelling = (char: string): fc.Arbitrary<string> =>
 			fc.constantFrom(char, `%${char.charCodeAt(0).toString(16)}`);
 		const path = fc
@@ -122,7 +125,7 @@
 		);
 	});
 
-	it('finds the targets of a service in one region', () => {
+	it('lists the targets of a service in one region', () => {
 		const found = index.listTargets('bookings' as ServiceName, ocho);
 		expect(found.map(target => target.id)).toEqual(['bookings-ocho']);
 		expect(index.findTarget(found[0]!.id)).toBe(found[0]);
@@ -130,25 +133,25 @@
 });
 
 describe('checkForwarded', () => {
-	const free = planCall(index, kingston, createCall({ path: '/visits/7' }))._unsafeUnwrap();
-	const bound = planCall(index, kingston, createCall())._unsafeUnwrap();
+	const unrestricted = planCall(index, kingston, createCall({ path: '/visits/7' }))._unsafeUnwrap();
+	const restricted = planCall(index, kingston, createCall())._unsafeUnwrap();
 
-	it('lets one hop in, from anywhere for a free call and from its own region for a bound one', () => {
-		expect(checkForwarded(free, { hops: 1, region: ocho }, kingston).isOk()).toBe(true);
-		expect(checkForwarded(bound, { hops: 1, region: kingston }, kingston).isOk()).toBe(true);
+	it('accepts one hop, from any region for an unrestricted call and from the home region for a restricted one', () => {
+		expect(checkForwardedCall(unrestricted, { hops: 1, region: ocho }, kingston).isOk()).toBe(true);
+		expect(checkForwardedCall(restricted, { hops: 1, region: kingston }, kingston).isOk()).toBe(true);
 	});
 
-	// Two full regions each believe that the other has room, or a caller forges the hop count. A call that
-	// is passed on a second time would go round on the thin link and never be answered.
+	// Two full regions each assume that the other one has capacity, or a caller forges the hop count. A call that is
+	// forwarded a second time would circulate on the thin link and never be answered.
 	it.each([0, 2, -1, 1.5, Number.NaN])('refuses %d hops', hops => {
-		expect(checkForwarded(free, { hops, region: ocho }, kingston).isErr()).toBe(true);
+		expect(checkForwardedCall(unrestricted, { hops, region: ocho }, kingston).isErr()).toBe(true);
 	});
 
-	// One entry still has the manifest under which the call could be answered anywhere and sends it away; the
-	// other has the newer one that binds it. Served, the data would be answered outside the caller's rule.
-	it('refuses a bound call that comes from or to another region', () => {
-		const fromOcho = checkForwarded(bound, { hops: 1, region: ocho }, kingston);
+	// One entry still has the manifest that allows any region and forwards the call. The other entry has the newer
+	// manifest that restricts the call to its home region. Serving it would violate the residency rule.
+	it('refuses a restricted call that comes from or arrives in a region other than its home', () => {
+		const fromOcho = checkForwardedCall(restricted, { hops: 1, region: ocho }, kingston);
 		expect(fromOcho._unsafeUnwrapErr().kind).toBe(ErrorKind.WrongRegion);
-		expect(checkForwarded(bound, { hops: 1, region: ocho }, ocho).isErr()).toBe(true);
+		expect(checkForwardedCall(restricted, { hops: 1, region: ocho }, ocho).isErr()).toBe(true);
 	});
 });
--- a/src/entry/common/placement/test/routedPlan.test.ts
+++ b/src/entry/common/placement/test/routedPlan.test.ts
@@ -1,9 +1,9 @@
 import { checkManifest, RepeatRule } from '../../../../core/manifest/common/manifest';
 import type { RegionName } from '../../../../core/ids/common/ids';
 import { RequestClass } from '../../../../core/requests/common/requestClass';
-import { checkForwarded, isAllowedRegion } from '../callPlan';
+import { checkForwardedCall, isAllowedRegion } from '../callPlan';
 import type { CallPlan } from '../callPlan';
-import { planRouted } from '../routedPlan';
+import { planRoutedCall } from '../routedPlan';
 
 const kingston = 'kingston' as RegionName;
 const ocho = 'ocho' as RegionName;
@@ -28,7 +28,7 @@
 			},
 		],
 	})._unsafeUnwrap();
-	return planRouted(manifest.routes[0]!, manifest.services[0]!, manifest.organisations[0]!);
+	return planRoutedCall(manifest.routes[0]!, manifest.services[0]!, manifest.organisations[0]!);
 }
 
 describe('planRouted', () => {
@@ -37,26 +37,28 @@
 		['at-most-once', false, RepeatRule.AtMostOnce],
 		['stream', false, RepeatRule.AtMostOnce],
 		['stream', true, RepeatRule.Idempotent],
-	])('lets a request of kind %s that is resumable (%s) be %s', (kind, isResumable, repeat) => {
+	])('plans a request of kind %s with resumable %s as %s', (kind, isResumable, repeat) => {
 		expect(createPlan({ kind, isResumable }).repeat).toBe(repeat);
 	});
 
-	// A payment is slow. Given up before its deadline, its caller is told "unknown" though the answer was coming.
-	it('waits for what may run once until its deadline', () => {
+	// A payment is slow. If it timed out before its deadline, its caller would receive an unknown outcome although
+	// the answer was about to arrive.
+	it('waits for a request that may run only once until its deadline', () => {
 		const { firstByteMs, idleMs } = createPlan({ kind: 'at-most-once' }).classes[RequestClass.Normal];
 		expect([firstByteMs, idleMs]).toEqual([10_000, 10_000]);
 	});
 
-	it('looks for another target where a request may run again', () => {
+	it('uses a shorter first-byte timeout for a request that may run again', () => {
 		const { firstByteMs } = createPlan({ kind: 'idempotent' }).classes[RequestClass.Normal];
 		expect(firstByteMs).toBe(3_000);
 	});
 
-	// Two entries with different manifests disagree on a route's homes. The one that would answer has the last word.
-	it('keeps a request out of regions that are no home of its route, also when it is forwarded', () => {
+	// Two entries with different manifests disagree on the home regions of a route. The entry that would answer
+	// decides by its own manifest.
+	it('refuses a request in regions that are not homes of its route, even if it was forwarded', () => {
 		const plan = createPlan({ kind: 'stream', homes: ['kingston'] });
 		expect([isAllowedRegion(plan, kingston), isAllowedRegion(plan, ocho)]).toEqual([true, false]);
-		expect(checkForwarded(plan, { hops: 1, region: ocho }, kingston).isOk()).toBe(true);
-		expect(checkForwarded(plan, { hops: 1, region: kingston }, ocho).isErr()).toBe(true);
+		expect(checkForwardedCall(plan, { hops: 1, region: ocho }, kingston).isOk()).toBe(true);
+		expect(checkForwardedCall(plan, { hops: 1, region: kingston }, ocho).isErr()).toBe(true);
 	});
 });
--- a/src/entry/common/prompts/promptShape.ts
+++ b/src/entry/common/prompts/promptShape.ts
@@ -1,34 +1,34 @@
 /**
- * What is known of a request's prompt before it is read: its parts, which other requests may share, and its
- * sizes in tokens. From it the work of a request and the place of its cached parts are estimated.
+ * What is known about the prompt of a request before it is read: its parts, which other requests may share, and
+ * its lengths in tokens. The work of a request and the location of its cached parts are estimated from this.
  */
 
-/** One part of a prompt; a cache that holds it and all parts before it need not read it again. */
+/** One part of a prompt. A cache that holds the part and all parts before it does not need to read the part again. */
 export interface PromptPart {
 	readonly id: string;
 	readonly tokens: number;
 }
 
-/** A prompt with the answer that is expected. */
+/** The parts and lengths of a prompt and the expected length of its answer. */
 export interface PromptShape {
-	/** In their order in the prompt; the last one belongs to the request itself. */
+	/** In prompt order. The last part belongs to this request only. */
 	readonly parts: readonly PromptPart[];
 	readonly promptTokens: number;
-	/** The most tokens that may be generated. */
-	readonly mostOutputTokens: number;
-	/** The caller's own estimate of what will be generated, or undefined. */
+	/** Maximum number of tokens that may be generated. */
+	readonly maxOutputTokens: number;
+	/** The caller's estimate of the number of tokens that will be generated, or undefined. */
 	readonly hintedOutputTokens: number | undefined;
 }
 
 /**
- * The part by which requests are brought together: the last of those that others may share, since a cache must
- * hold all parts before it too. Parts near the root are shared by so many that they are soon held everywhere.
- * Undefined where nothing is shared, or where what is shared is so small that reading it again costs less than
- * being bound to a target.
+ * Returns the part by which requests are sent to the same cache: the last of the parts that other requests may
+ * share, because a cache must hold all parts before it too. The first parts are shared by so many requests that
+ * they are soon cached everywhere. Parts below `minTokens` are ignored, because reading them again costs less than
+ * tying the request to a target. Returns undefined if no part remains.
  */
-export function findSharedPart({ parts }: PromptShape, leastTokens: number): PromptPart | undefined {
+export function findSharedPart({ parts }: PromptShape, minTokens: number): PromptPart | undefined {
 	return parts
 		.slice(0, -1)
-		.filter(({ tokens }) => tokens >= leastTokens)
+		.filter(({ tokens }) => tokens >= minTokens)
 		.at(-1);
 }
--- a/src/entry/common/routing/routeTable.ts
+++ b/src/entry/common/routing/routeTable.ts
@@ -1,7 +1,7 @@
 /**
- * Finds the route of a request. Routes are grouped by host and sorted by the length of their prefix once for
- * each manifest, so that a manifest that grows by hundreds of routes costs a request a look at those of its
- * own host only.
+ * Finds the route of a request and the service that answers it. Routes are grouped by host and sorted by the
+ * length of their prefix once for each manifest, so that a request is compared only with the routes of its own
+ * host, even if the manifest grows by hundreds of routes.
  */
 
 import type { ManifestRoute } from '../../../core/manifest/common/routes';
@@ -10,23 +10,23 @@
 
 /** The routes of one manifest. */
 export class RouteTable {
-	private readonly byHost = new Map<string, ManifestRoute[]>();
+	private readonly routesByHost = new Map<string, ManifestRoute[]>();
 
 	constructor(routes: readonly ManifestRoute[]) {
 		for (const route of routes) {
-			const known = this.byHost.get(route.host) ?? [];
-			known.push(route);
-			this.byHost.set(route.host, known);
+			const hostRoutes = this.routesByHost.get(route.host) ?? [];
+			hostRoutes.push(route);
+			this.routesByHost.set(route.host, hostRoutes);
 		}
-		for (const known of this.byHost.values()) {
-			known.sort((left, right) => right.pathPrefix.length - left.pathPrefix.length);
+		for (const hostRoutes of this.routesByHost.values()) {
+			hostRoutes.sort((left, right) => right.pathPrefix.length - left.pathPrefix.length);
 		}
 	}
 
-	/** The regions that are homes of routes of a host, each with the number of these routes. */
+	/** Returns the home regions of the routes of a host, each with the number of its routes. */
 	countHomes(host: string): ReadonlyMap<RegionName, number> {
 		const counts = new Map<RegionName, number>();
-		for (const { homes } of this.byHost.get(readHostName(host)) ?? []) {
+		for (const { homes } of this.routesByHost.get(parseHostName(host)) ?? []) {
 			for (const home of homes) {
 				counts.set(home, (counts.get(home) ?? 0) + 1);
 			}
@@ -34,30 +34,30 @@
 		return counts;
 	}
 
-	/** The route whose prefix is the longest that begins the path, or undefined. `host` may name a port. */
+	/** Returns the route with the longest prefix of the path, or undefined. `host` may include a port. */
 	find(host: string, path: string): ManifestRoute | undefined {
-		return this.byHost.get(readHostName(host))?.find(route => path.startsWith(route.pathPrefix));
+		return this.routesByHost.get(parseHostName(host))?.find(route => path.startsWith(route.pathPrefix));
 	}
 }
 
-/** A host without its port, in lower case. */
-function readHostName(host: string): string {
+/** Returns the host in lower case without its port. */
+function parseHostName(host: string): string {
 	return host.toLowerCase().replace(/:\d+$/, '');
 }
 
 const hashRange = 0x1_0000_0000;
 
 /**
- * The service of a request, by the weights of its route. The choice follows from the request's id, so that an
- * entry to which the request is forwarded chooses the same.
+ * Chooses the service of a request by the weights of its route. The choice is a hash of the request id, so that
+ * an entry to which the request is forwarded chooses the same service.
  */
 export function chooseService({ name, services }: ManifestRoute, requestId: string): ServiceName | undefined {
 	const total = services.reduce((sum, { weight }) => sum + weight, 0);
-	const draw = computeMixedHash(computeTextHash(requestId), computeTextHash(name)) / hashRange;
-	let left = draw * total;
+	const randomFraction = computeMixedHash(computeTextHash(requestId), computeTextHash(name)) / hashRange;
+	let remaining = randomFraction * total;
 	for (const { service, weight } of services) {
-		left -= weight;
-		if (left < 0) {
+		remaining -= weight;
+		if (remaining < 0) {
 			return service;
 		}
 	}
--- a/src/entry/common/routing/test/routeTable.test.ts
+++ b/src/entry/common/routing/test/routeTable.test.ts
@@ -36,23 +36,27 @@
 		['one.example', '/shop', 'root'],
 		['ONE.example:8144', '/x', 'root'],
 		['two.example', '/shop/', 'other'],
-	])('finds for %s%s the route %s', (host, path, name) => {
+	])('matches %s%s to the route %s', (host, path, name) => {
 		expect(table.find(host, path)?.name).toBe(name);
 	});
 
-	it('finds none for another host, or a path that no prefix begins', () => {
+	it('finds no route for an unknown host or a path without a matching prefix', () => {
 		expect(table.find('three.example', '/')).toBeUndefined();
 		expect(table.find('two.example', '/shopping/')).toBeUndefined();
 	});
 });
 
-describe('the homes of a host', () => {
-	it('are counted by the bound routes that may be answered there', () => {
-		const bound = (name: string, ...homes: string[]): ManifestRoute => ({
+describe('RouteTable.countHomes', () => {
+	it('counts the routes that have a region as a home', () => {
+		const createRouteWithHomes = (name: string, ...homes: string[]): ManifestRoute => ({
 			...createRoute(name, 'one.example', `/${name}/`),
 			homes: homes as RegionName[],
 		});
-		const routes = [bound('a', 'kingston', 'montego'), bound('b', 'montego', 'ocho'), bound('c')];
+		const routes = [
+			createRouteWithHomes('a', 'kingston', 'montego'),
+			createRouteWithHomes('b', 'montego', 'ocho'),
+			createRouteWithHomes('c'),
+		];
 		expect(new RouteTable(routes).countHomes('One.example:80')).toEqual(
 			new Map([
 				['kingston', 1],
@@ -65,7 +69,7 @@
 });
 
 describe('chooseService', () => {
-	it('shares requests by weight, and chooses the same again for one request', () => {
+	it('distributes requests by weight, and repeats the choice for the same request', () => {
 		const route = createRoute('split', 'one.example', '/');
 		const chosen = Array.from({ length: 2_000 }, (_, index) => chooseService(route, `request-${index}`));
 		const share = chosen.filter(service => service === 'b').length / chosen.length;
--- a/src/entry/common/sendAway/costBasedSendAwayPolicy.ts
+++ b/src/entry/common/sendAway/costBasedSendAwayPolicy.ts
@@ -1,12 +1,13 @@
 /**
- * Sends a request to another region when that costs its caller less than waiting here. Load patterns:
- * daily peaks that are offset between regions, and regions whose capacity differs tenfold. Without it one
- * region refuses while another idles; with a greedy rule (send whatever can be sent) thin links fill up,
- * caches stay cold everywhere and answers come later than if the request had stayed.
+ * Sends a request to another region when that costs its caller less time than waiting here. This covers daily
+ * peaks that are offset between regions, and regions whose capacities differ tenfold. Without it one region
+ * refuses requests while another is idle. With a greedy rule (send whatever can be sent) thin links fill up,
+ * caches stay cold everywhere, and answers arrive later than if the request had been kept.
  *
- * The cost of sending is the remote wait, the round trip, the transfer on the link and the cold start. It
- * must be beaten by a margin, only entries that have offered room are asked, and the share of requests sent
- * changes slowly. A request that cannot go for want of link or room stays, which is always allowed.
+ * The cost of sending is the sum of the remote wait, the round trip, the transfer over the link and the cold
+ * caches. The local wait must exceed it by a margin, only entries that have offered capacity are considered,
+ * and the share of requests sent changes slowly. A request that cannot be sent for lack of link bandwidth or
+ * remote capacity is kept, which is always allowed.
  */
 
 import type { IRandom } from '../../../base/common/random';
@@ -15,129 +16,142 @@
 import { defaultSendAwayFigures } from '../scheduling/policy';
 import { RemotePeer } from './remotePeer';
 import { RemoteRegion } from './remoteRegion';
-import type { ISendAwayPolicy, RemoteOffer, SendAwayAnswer, SendAwayQuestion } from './sendAwayPolicy';
+import type { ISendAwayPolicy, RemoteOffer, SendAwayContext, SendAwayDecision } from './sendAwayPolicy';
 import { SendAwayShare } from './sendAwayShare';
 
-/** Weight of one answer in the mean size of answers. */
-const sizeWeight = 0.1;
+/** Weight of one answer in the moving average of answer sizes. */
+const answerSizeSmoothing = 0.1;
 
-interface PricedOffer {
+/** An offer with the estimated time that sending a request there takes, apart from the run itself. */
+interface OfferWithCost {
 	readonly offer: RemoteOffer;
 	readonly costMs: number;
 }
 
-/** Decides for one service at one entry. */
-export class SendAwayPolicy implements ISendAwayPolicy {
+/** Decides for one service at one entry, by estimated cost in time. */
+export class CostBasedSendAwayPolicy implements ISendAwayPolicy {
 	private readonly share: SendAwayShare;
 	private readonly regions = new Map<RegionName, RemoteRegion>();
 	private readonly peers = new Map<InstanceId, RemotePeer>();
-	private answerBytes: number;
+	private meanAnswerBytes: number;
 
 	constructor(
 		private readonly random: IRandom,
-		private readonly figures: SendAwayFigures = defaultSendAwayFigures,
+		private readonly options: SendAwayFigures = defaultSendAwayFigures,
 	) {
-		this.share = new SendAwayShare(figures);
-		this.answerBytes = figures.initialAnswerBytes;
+		this.share = new SendAwayShare(options);
+		this.meanAnswerBytes = options.initialAnswerBytes;
 	}
 
-	decide(question: SendAwayQuestion, nowMs: number): SendAwayAnswer {
-		const priced = this.listPriced(question, nowMs);
-		const [best] = priced;
-		const localMs = question.localRoom.waitMs;
-		const savingMs = best === undefined ? -this.figures.fullRateSavingMs : this.computeSaving(localMs, best);
+	decide(context: SendAwayContext, nowMs: number): SendAwayDecision {
+		const offersByCost = this.listOffersByCost(context, nowMs);
+		const [best] = offersByCost;
+		const localMs = context.localRoom.waitMs;
+		const savingMs = best === undefined ? -this.options.fullRateSavingMs : this.computeSaving(localMs, best);
 		const share = this.share.update(savingMs, nowMs);
 		if (best === undefined) {
-			return { sendTo: undefined, reason: 'no other region offers room' };
+			return { sendTo: undefined, reason: 'no other region offers capacity' };
 		}
-		const costs = `wait ${Math.round(localMs)} ms here, ${Math.round(best.costMs)} ms there`;
-		// The share rises slowly so that lagging offers do not swing a whole region's requests to and fro. Where
-		// nothing is served here there is nothing to swing back to, and each request kept would be refused.
-		const isKept = !question.isUnservedHere && this.random.pickFraction() >= share;
+		const costSummary = `local wait ${Math.round(localMs)} ms, remote cost ${Math.round(best.costMs)} ms`;
+		// The share rises slowly so that lagging offers do not move all requests of a region back and forth. If no
+		// target here may serve the request, the share is ignored, because a kept request would be refused.
+		const isKept = !context.isUnservedHere && this.random.pickFraction() >= share;
 		if (savingMs <= 0 || isKept) {
-			return { sendTo: undefined, reason: `${costs}, share ${share.toFixed(2)}` };
+			return { sendTo: undefined, reason: `${costSummary}, share ${share.toFixed(2)}` };
 		}
-		const usable = priced.find(
-			item => this.computeSaving(localMs, item) > 0 && this.isUsable(item.offer, question, nowMs),
+		const usable = offersByCost.find(
+			item => this.computeSaving(localMs, item) > 0 && this.isUsable(item.offer, context, nowMs),
 		);
 		return usable === undefined
-			? { sendTo: undefined, reason: `${costs}, but room, step or link is at its cap` }
-			: this.send(question, usable.offer, costs, nowMs);
+			? {
+					sendTo: undefined,
+					reason: `${costSummary}, but remote capacity, in-flight limit or link budget is exhausted`,
+				}
+			: this.send(context, usable.offer, costSummary, nowMs);
 	}
 
-	noteEnd(instance: InstanceId, isAnswered: boolean, tookMs: number, bytes: number, nowMs: number): void {
+	recordEnd(
+		instance: InstanceId,
+		isAnswered: boolean,
+		durationMs: number,
+		bytes: number,
+		nowMs: number,
+	): void {
 		const peer = this.peers.get(instance);
 		if (peer === undefined) {
 			return;
 		}
-		peer.noteEnd(nowMs);
+		peer.recordEnd(nowMs);
 		const region = this.getRegion(peer.region);
-		region.noteEnd(isAnswered, tookMs, nowMs);
-		region.link.addBytes(bytes - this.answerBytes);
+		region.recordEnd(isAnswered, durationMs, nowMs);
+		region.link.addBytes(bytes - this.meanAnswerBytes);
 		if (isAnswered) {
-			this.answerBytes += sizeWeight * (bytes - this.answerBytes);
+			this.meanAnswerBytes += answerSizeSmoothing * (bytes - this.meanAnswerBytes);
 		}
 	}
 
 	private send(
-		{ request }: SendAwayQuestion,
+		{ request }: SendAwayContext,
 		{ instance, region: name }: RemoteOffer,
-		costs: string,
+		costSummary: string,
 		nowMs: number,
-	): SendAwayAnswer {
+	): SendAwayDecision {
 		const region = this.getRegion(name);
-		region.link.addBytes(request.bodyBytes + this.answerBytes);
-		region.noteSent();
-		this.getPeer(instance, name, nowMs).noteSent(nowMs);
-		return { sendTo: instance, reason: costs };
+		region.link.addBytes(request.bodyBytes + this.meanAnswerBytes);
+		region.recordSent();
+		this.getPeer(instance, name, nowMs).recordSent(nowMs);
+		return { sendTo: instance, reason: costSummary };
 	}
 
-	/** What sending saves beyond the margin, in milliseconds. */
-	private computeSaving(localMs: number, { costMs }: PricedOffer): number {
-		return localMs - costMs * this.figures.marginFactor - this.figures.marginMs;
+	/** Time that sending saves beyond the margin, in milliseconds. */
+	private computeSaving(localMs: number, { costMs }: OfferWithCost): number {
+		return localMs - costMs * this.options.marginFactor - this.options.marginMs;
 	}
 
-	/** Offers of room that would be answered in time, the cheapest first. */
-	private listPriced(question: SendAwayQuestion, nowMs: number): PricedOffer[] {
-		const priced: PricedOffer[] = [];
-		for (const offer of question.offers) {
-			if (offer.ageMs > this.figures.longestOfferAgeMs || offer.linkBytesPerMs <= 0) {
+	/** Usable offers whose answer would arrive before the deadline, the cheapest first. */
+	private listOffersByCost(context: SendAwayContext, nowMs: number): OfferWithCost[] {
+		const offersByCost: OfferWithCost[] = [];
+		for (const offer of context.offers) {
+			if (offer.ageMs > this.options.longestOfferAgeMs || offer.linkBytesPerMs <= 0) {
 				continue;
 			}
-			this.getRegion(offer.region).noteOffer(nowMs - offer.ageMs);
-			const costMs = this.computeCost(offer, question, nowMs);
-			if (nowMs + costMs < question.request.deadlineMs && this.countClaimable(offer, nowMs) > 0) {
-				priced.push({ offer, costMs });
+			this.getRegion(offer.region).recordOffer(nowMs - offer.ageMs);
+			const costMs = this.computeCost(offer, context, nowMs);
+			if (nowMs + costMs < context.request.deadlineMs && this.computeMaxInFlight(offer, nowMs) > 0) {
+				offersByCost.push({ offer, costMs });
 			}
 		}
-		return priced.sort((left, right) => left.costMs - right.costMs);
+		return offersByCost.sort((left, right) => left.costMs - right.costMs);
 	}
 
-	/** Requests that may be in flight to the entry: a part of what it had free and of what it ran for us. */
-	private countClaimable(offer: RemoteOffer, nowMs: number): number {
+	/**
+	 * Limit on the requests in flight to the offering entry: a share of the slots that were free and of those that
+	 * this sender's own requests used when the offer was made.
+	 */
+	private computeMaxInFlight(offer: RemoteOffer, nowMs: number): number {
 		const peer = this.peers.get(offer.instance);
-		const reflected = peer?.countAt(nowMs - offer.ageMs - offer.oneWayMs) ?? 0;
-		return Math.ceil((offer.room.freeSlots + reflected) * this.figures.claimShare);
+		const inFlightAtOffer = peer?.countInFlightAt(nowMs - offer.ageMs - offer.oneWayMs) ?? 0;
+		return Math.ceil((offer.room.freeSlots + inFlightAtOffer) * this.options.claimShare);
 	}
 
-	private isUsable(offer: RemoteOffer, { request }: SendAwayQuestion, nowMs: number): boolean {
+	private isUsable(offer: RemoteOffer, { request }: SendAwayContext, nowMs: number): boolean {
 		const region = this.getRegion(offer.region);
 		const inFlight = this.peers.get(offer.instance)?.inFlight ?? 0;
 		return (
-			inFlight < this.countClaimable(offer, nowMs) &&
-			region.hasRoom() &&
-			region.link.hasRoomFor(request.bodyBytes + this.answerBytes, offer.linkBytesPerMs, nowMs)
+			inFlight < this.computeMaxInFlight(offer, nowMs) &&
+			region.isBelowLimit() &&
+			region.link.hasBudgetFor(request.bodyBytes + this.meanAnswerBytes, offer.linkBytesPerMs, nowMs)
 		);
 	}
 
-	/** What sending costs the caller beside the run itself, in milliseconds. */
-	private computeCost(offer: RemoteOffer, { request }: SendAwayQuestion, nowMs: number): number {
-		const transferMs = (request.bodyBytes + this.answerBytes) / offer.linkBytesPerMs;
-		const coldMs = this.getRegion(offer.region).computeColdMs(nowMs);
-		return offer.room.waitMs + 2 * offer.oneWayMs + transferMs + coldMs;
+	/** Time that sending costs the caller in addition to the run itself, in milliseconds. */
+	private computeCost(offer: RemoteOffer, { request }: SendAwayContext, nowMs: number): number {
+		const transferMs = (request.bodyBytes + this.meanAnswerBytes) / offer.linkBytesPerMs;
+		const coldCacheMs = this.getRegion(offer.region).computeColdCacheCost(nowMs);
+		return offer.room.waitMs + 2 * offer.oneWayMs + transferMs + coldCacheMs;
 	}
 
-	/** A new peer takes the place of those that nothing was sent to of late, so that gone ones don't pile up. */
+	/** Returns the state of a peer. Creating one removes idle peers, so that stopped instances do not accumulate. */
 	private getPeer(instance: InstanceId, region: RegionName, nowMs: number): RemotePeer {
 		let peer = this.peers.get(instance);
 		if (peer === undefined) {
@@ -146,7 +160,7 @@
 					this.peers.delete(other);
 				}
 			}
-			peer = new RemotePeer(region, 2 * this.figures.longestOfferAgeMs);
+			peer = new RemotePeer(region, 2 * this.options.longestOfferAgeMs);
 			this.peers.set(instance, peer);
 		}
 		return peer;
@@ -155,7 +169,7 @@
 	private getRegion(name: RegionName): RemoteRegion {
 		let region = this.regions.get(name);
 		if (region === undefined) {
-			region = new RemoteRegion(this.figures);
+			region = new RemoteRegion(this.options);
 			this.regions.set(name, region);
 		}
 		return region;
--- a/src/entry/common/sendAway/firstByteSendAwayPolicy.ts
+++ b/src/entry/common/sendAway/firstByteSendAwayPolicy.ts
@@ -1,19 +1,18 @@
 /**
  * Sends a request to another region when that costs callers less than serving it here.
  *
- * Load patterns: daily peaks that are offset between regions, a region whose targets are gone or to get
- * nothing, and callers whose requests must be answered in a region other than the one that they reached.
- * Without it one region answers late, or refuses, while another idles.
+ * This covers daily peaks that are offset between regions, a region whose targets are gone or are to receive no
+ * requests, and callers whose requests must be answered in a region other than the one that they reached.
+ * Without it one region answers late, or refuses, while another is idle.
  *
- * A request costs the time to its first byte, the way there and back included, and two things beside it. Its
- * prompt holds up the answers that run where it is read: a region that keeps its long prompts until they
- * would be late is in time itself, while the answers beside them crawl. And a region that reads a shared part
- * which belongs to another keeps a further copy in place of another part. Counting what reading takes from
- * others brought 0.02 of the worth of five replayed days with offset peaks and faults, and counting copies of
- * parts of any size 0.005 more (one run a day). A request that can be in time here, and costs others little, stays.
+ * The cost of a request is the time to its first byte, including the round trip, plus two effects on other
+ * requests. First, reading its prompt slows down the answers that are running at the same target. A region that
+ * keeps its long prompts until they would be late answers these in time, while the answers running beside them
+ * slow down. Second, a region that reads a shared prompt part owned by another region stores a further copy,
+ * which evicts another part. A request that can be answered in time here at little cost to others is kept.
  *
- * What a peer offered is some seconds old. What was sent to it since is added to its wait, or all entries
- * would send everything to the one that looked emptiest.
+ * Offers are some seconds old. The work sent to a peer since its offer is added to the peer's wait. Otherwise
+ * all entries would send everything to the peer that looked emptiest.
  */
 
 import { LRUCache } from 'lru-cache';
@@ -23,200 +22,210 @@
 import { findSharedPart } from '../prompts/promptShape';
 import type { SchedulableRequest, ServiceRoom } from '../scheduling/serviceScheduler';
 import { defaultWorkPolicy } from '../workScheduling/workPolicy';
-import type { ISendAwayPolicy, RemoteOffer, SendAwayAnswer, SendAwayQuestion } from './sendAwayPolicy';
-
-/** Figures of the decision. */
-export interface ReliefFigures {
-	/** The part of the time left until the aim up to which a request is taken to be in time here. */
-	readonly staysBelow: number;
-	/** The same for the other region, whose state is known less well. */
-	readonly goesBelow: number;
-	/** What sending must save at the least, in milliseconds: twice the error of a prediction of a calm target. */
-	readonly marginMs: number;
-	/** Offers older than this are not believed, in milliseconds: some exchanges of views. */
-	readonly longestOfferAgeMs: number;
-	/** Work of a request before anything is known of it, in milliseconds. */
-	readonly usualWorkMs: number;
-	/** The part of a sent request's work that later ones wait for: a region has a few targets. */
-	readonly claimShare: number;
-	/** What a further copy of a shared part costs, as a share of the time of reading it. */
-	readonly copyCost: number;
-	/** Prompt tokens that an engine reads in a millisecond, as the work of requests is estimated. */
-	readonly tokensPerMs: number;
-	/** What a millisecond taken from an answer that runs there counts against one of the request's own. */
-	readonly delayCost: number;
-	/** How long a peer that could not be reached is left out, in milliseconds. */
-	readonly avoidMs: number;
-	/** Random part of a cost. */
-	readonly jitter: number;
+import type { ISendAwayPolicy, RemoteOffer, SendAwayContext, SendAwayDecision } from './sendAwayPolicy';
+
+/** Options of the decision. */
+export interface FirstByteSendAwayOptions {
+	/** A request counts as in time here if its wait is at most this share of the time left until it is due. */
+	readonly maxLocalTimeShare: number;
+	/** The same share for the time to the first byte in the other region, whose state is known less precisely. */
+	readonly maxRemoteTimeShare: number;
+	/** Minimum saving that justifies sending, in milliseconds. Twice the prediction error of a lightly loaded target. */
+	readonly minSavingMs: number;
+	/** Offers older than this are ignored, in milliseconds. Long enough for several exchanges of views. */
+	readonly maxOfferAgeMs: number;
+	/** Work assumed for a request when no estimate is available, in milliseconds. */
+	readonly defaultWorkMs: number;
+	/** Share of a sent request's work that later requests wait for. Below 1 because a region has several targets. */
+	readonly pendingWorkShare: number;
+	/** Cost of a further copy of a shared prompt part, as a share of the time to read that part. */
+	readonly copyCostShare: number;
+	/** Prompt tokens that an engine reads per millisecond, as used to estimate the work of requests. */
+	readonly promptTokensPerMs: number;
+	/** Weight of a millisecond of delay to a running answer, relative to a millisecond of the request's own time. */
+	readonly delayWeight: number;
+	/** How long a peer that could not be reached is excluded, in milliseconds. */
+	readonly unreachablePauseMs: number;
+	/** Upper bound of the random increase of a cost, as a share of the cost. */
+	readonly maxJitterShare: number;
 }
 
-export const defaultReliefFigures: ReliefFigures = {
-	staysBelow: 0.7,
-	goesBelow: 0.9,
-	marginMs: 60,
-	longestOfferAgeMs: 6_000,
-	usualWorkMs: 100,
-	claimShare: 0.3,
-	copyCost: defaultWorkPolicy.choice.copyCost,
-	tokensPerMs: defaultWorkPolicy.estimate.tokensPerMs,
-	delayCost: defaultWorkPolicy.choice.delayCost,
-	avoidMs: 2_000,
-	jitter: 0.1,
+export const defaultFirstByteSendAwayOptions: FirstByteSendAwayOptions = {
+	maxLocalTimeShare: 0.7,
+	maxRemoteTimeShare: 0.9,
+	minSavingMs: 60,
+	maxOfferAgeMs: 6_000,
+	defaultWorkMs: 100,
+	pendingWorkShare: 0.3,
+	copyCostShare: defaultWorkPolicy.choice.copyCost,
+	promptTokensPerMs: defaultWorkPolicy.estimate.tokensPerMs,
+	delayWeight: defaultWorkPolicy.choice.delayCost,
+	unreachablePauseMs: 2_000,
+	maxJitterShare: 0.1,
 };
 
-/** What was sent to a peer since it spoke. */
-interface Claims {
-	spokenMs: number;
+/** The work sent to a peer since its latest offer. */
+interface PendingWork {
+	offeredMs: number;
 	workMs: number;
-	avoidedUntilMs: number;
+	pausedUntilMs: number;
 }
 
-interface PricedOffer {
+/** An offer with the estimated cost of sending the request there. */
+interface OfferWithCost {
 	readonly offer: RemoteOffer;
-	/** Until the first byte of the answer. */
-	readonly firstMs: number;
-	/** The same, and what the request takes from others there. */
+	/** Estimated time to the first byte of the answer. */
+	readonly firstByteMs: number;
+	/** The time to the first byte plus the cost to other requests in that region. */
 	readonly costMs: number;
 }
 
-/** Two readings of one offer's time differ by rounding only. */
-const sameOfferMs = 150;
+/** Times computed for the same offer differ by rounding only. Up to this difference an offer is not a new one. */
+const sameOfferToleranceMs = 150;
 
-/** Shared parts that are remembered with the regions they were sent to; bounds memory. */
-const mostSentParts = 4_000;
+/** Maximum number of remembered pairs of shared part and region that it was sent to. Bounds memory. */
+const maxSentParts = 4_000;
 
 function createPartKey(region: RegionName, partId: string): string {
 	return `${region}/${partId}`;
 }
 
-/** Decides for one service at one entry. */
-export class ReliefPolicy implements ISendAwayPolicy {
-	private readonly claims = new Map<InstanceId, Claims>();
-	private readonly sentParts = new LRUCache<string, true>({ max: mostSentParts });
+/** Decides for one service at one entry, by the time to the first byte and the cost to other requests. */
+export class FirstByteSendAwayPolicy implements ISendAwayPolicy {
+	private readonly pendingWork = new Map<InstanceId, PendingWork>();
+	private readonly sentPromptParts = new LRUCache<string, true>({ max: maxSentParts });
 
 	constructor(
 		private readonly random: IRandom,
-		private readonly figures: ReliefFigures = defaultReliefFigures,
+		private readonly options: FirstByteSendAwayOptions = defaultFirstByteSendAwayOptions,
 	) {}
 
-	decide(question: SendAwayQuestion, nowMs: number): SendAwayAnswer {
-		const { request, localRoom, isUnservedHere } = question;
-		const leftMs = (request.work?.dueMs ?? request.deadlineMs) - nowMs;
+	decide(context: SendAwayContext, nowMs: number): SendAwayDecision {
+		const { request, localRoom, isUnservedHere } = context;
+		const timeLeftMs = (request.work?.dueMs ?? request.deadlineMs) - nowMs;
 		const localMs = isUnservedHere ? Number.POSITIVE_INFINITY : localRoom.waitMs;
-		const localExtraMs = this.computeLocalExtra(question);
-		if (localMs <= leftMs * this.figures.staysBelow && localExtraMs <= this.figures.marginMs) {
-			return { sendTo: undefined, reason: `${Math.round(localMs)} ms here of ${Math.round(leftMs)} ms` };
+		const localExtraMs = this.computeLocalExtraCost(context);
+		if (localMs <= timeLeftMs * this.options.maxLocalTimeShare && localExtraMs <= this.options.minSavingMs) {
+			return {
+				sendTo: undefined,
+				reason: `local wait ${Math.round(localMs)} ms of ${Math.round(timeLeftMs)} ms left`,
+			};
 		}
-		const best = this.findBest(question, nowMs);
+		const best = this.findBestOffer(context, nowMs);
 		if (best === undefined) {
-			return { sendTo: undefined, reason: 'no other region offers room' };
+			return { sendTo: undefined, reason: 'no other region offers capacity' };
 		}
-		const costs =
-			`${Math.round(localMs)} + ${Math.round(localExtraMs)} ms here, ` +
-			`${Math.round(best.firstMs)} + ${Math.round(best.costMs - best.firstMs)} ms there`;
-		const isInTime = best.firstMs <= leftMs * this.figures.goesBelow;
-		const isBetter = isInTime && best.costMs + this.figures.marginMs < localMs + localExtraMs;
+		const costSummary =
+			`local ${Math.round(localMs)} + ${Math.round(localExtraMs)} ms, ` +
+			`remote ${Math.round(best.firstByteMs)} + ${Math.round(best.costMs - best.firstByteMs)} ms`;
+		const isInTime = best.firstByteMs <= timeLeftMs * this.options.maxRemoteTimeShare;
+		const isBetter = isInTime && best.costMs + this.options.minSavingMs < localMs + localExtraMs;
 		if (!isUnservedHere && !isBetter) {
-			return { sendTo: undefined, reason: costs };
+			return { sendTo: undefined, reason: costSummary };
 		}
-		this.noteSent(question, best.offer, nowMs);
-		return { sendTo: best.offer.instance, reason: costs };
+		this.recordSent(context, best.offer, nowMs);
+		return { sendTo: best.offer.instance, reason: costSummary };
 	}
 
-	noteEnd(instance: InstanceId, isAnswered: boolean, _tookMs: number, bytes: number, nowMs: number): void {
-		const claims = this.claims.get(instance);
-		if (claims !== undefined && !isAnswered && bytes === 0) {
-			claims.avoidedUntilMs = nowMs + this.figures.avoidMs;
+	recordEnd(
+		instance: InstanceId,
+		isAnswered: boolean,
+		_durationMs: number,
+		bytes: number,
+		nowMs: number,
+	): void {
+		const pending = this.pendingWork.get(instance);
+		if (pending !== undefined && !isAnswered && bytes === 0) {
+			pending.pausedUntilMs = nowMs + this.options.unreachablePauseMs;
 		}
 	}
 
-	/** What serving the request here costs beside its own time, in milliseconds. */
-	private computeLocalExtra(question: SendAwayQuestion): number {
-		const { localRoom, owner } = question;
-		const isCopy = owner?.isOwn !== true && localRoom.holdsSharedPart !== true;
-		const delayMs = this.computeDelay(localRoom, localRoom.readingMs ?? 0);
-		return delayMs + (isCopy ? this.computeCopyCost(question) : 0);
+	/** Cost to other requests of serving the request here, in milliseconds. */
+	private computeLocalExtraCost(context: SendAwayContext): number {
+		const { localRoom, owner } = context;
+		const isCopy = owner?.isLocal !== true && localRoom.holdsSharedPart !== true;
+		const delayMs = this.computeDelayCost(localRoom, localRoom.readingMs ?? 0);
+		return delayMs + (isCopy ? this.computeCopyCost(context) : 0);
 	}
 
-	private findBest(question: SendAwayQuestion, nowMs: number): PricedOffer | undefined {
-		let best: PricedOffer | undefined;
-		for (const offer of question.offers) {
-			const claims = this.getClaims(offer, nowMs);
-			if (offer.ageMs > this.figures.longestOfferAgeMs || nowMs < claims.avoidedUntilMs) {
+	private findBestOffer(context: SendAwayContext, nowMs: number): OfferWithCost | undefined {
+		let best: OfferWithCost | undefined;
+		for (const offer of context.offers) {
+			const pending = this.getPendingWork(offer, nowMs);
+			if (offer.ageMs > this.options.maxOfferAgeMs || nowMs < pending.pausedUntilMs) {
 				continue;
 			}
-			const waitMs = offer.room.waitMs + claims.workMs;
-			const isHeld = this.isHeldThere(question, offer);
-			const heldMs = isHeld ? this.computeSharedReading(question) : 0;
-			const workMs = Math.max(0, this.computeWork(question) - heldMs);
-			const factor = 1 + this.figures.jitter * this.random.pickFraction();
-			const firstMs = (waitMs + 2 * offer.oneWayMs + workMs) * factor;
-			const delayMs = this.computeDelay(offer.room, this.isPrompted(question) ? workMs : 0);
-			const copyMs = isHeld ? 0 : this.computeCopyCost(question);
-			const costMs = firstMs + (delayMs + copyMs) * factor;
+			const waitMs = offer.room.waitMs + pending.workMs;
+			const isCached = this.isSharedPartCachedAt(context, offer);
+			const cachedMs = isCached ? this.computeSharedReadingMs(context) : 0;
+			const workMs = Math.max(0, this.computeWorkMs(context) - cachedMs);
+			const factor = 1 + this.options.maxJitterShare * this.random.pickFraction();
+			const firstByteMs = (waitMs + 2 * offer.oneWayMs + workMs) * factor;
+			const delayMs = this.computeDelayCost(offer.room, this.hasPrompt(context) ? workMs : 0);
+			const copyMs = isCached ? 0 : this.computeCopyCost(context);
+			const costMs = firstByteMs + (delayMs + copyMs) * factor;
 			if (best === undefined || costMs < best.costMs) {
-				best = { offer, firstMs, costMs };
+				best = { offer, firstByteMs, costMs };
 			}
 		}
 		return best;
 	}
 
-	/** What reading takes from the answers that run at a region's targets, as far as it counts. */
-	private computeDelay({ runningPerTarget }: ServiceRoom, readingMs: number): number {
-		return this.figures.delayCost * readingMs * (runningPerTarget ?? 0);
+	/** Weighted delay that reading the prompt causes to the answers running at the target, in milliseconds. */
+	private computeDelayCost({ runningPerTarget }: ServiceRoom, readingMs: number): number {
+		return this.options.delayWeight * readingMs * (runningPerTarget ?? 0);
 	}
 
-	private isPrompted({ request }: SendAwayQuestion): boolean {
+	private hasPrompt({ request }: SendAwayContext): boolean {
 		return request.work?.prompt !== undefined;
 	}
 
-	/** Whether the shared part of the prompt belongs to a region, or this entry has sent it there. */
-	private isHeldThere({ request, owner }: SendAwayQuestion, { region }: RemoteOffer): boolean {
-		const shared = this.findShared(request);
+	/** Whether the offering region owns the shared prompt part, or this entry has sent the part there before. */
+	private isSharedPartCachedAt({ request, owner }: SendAwayContext, { region }: RemoteOffer): boolean {
+		const shared = this.findSharedPromptPart(request);
 		return (
 			owner?.region === region ||
-			(shared !== undefined && this.sentParts.has(createPartKey(region, shared.id)))
+			(shared !== undefined && this.sentPromptParts.has(createPartKey(region, shared.id)))
 		);
 	}
 
-	private computeSharedReading({ owner }: SendAwayQuestion): number {
-		return (owner?.tokens ?? 0) / this.figures.tokensPerMs;
+	private computeSharedReadingMs({ owner }: SendAwayContext): number {
+		return (owner?.tokens ?? 0) / this.options.promptTokensPerMs;
 	}
 
-	/** A region that reads a part for itself keeps a further copy in place of another part. */
-	private computeCopyCost(question: SendAwayQuestion): number {
-		return this.figures.copyCost * this.computeSharedReading(question);
+	/** Cost of a further copy of the shared part, which takes cache memory from other parts, in milliseconds. */
+	private computeCopyCost(context: SendAwayContext): number {
+		return this.options.copyCostShare * this.computeSharedReadingMs(context);
 	}
 
-	private findShared({ work }: SchedulableRequest): PromptPart | undefined {
+	private findSharedPromptPart({ work }: SchedulableRequest): PromptPart | undefined {
 		return work?.prompt && findSharedPart(work.prompt, defaultWorkPolicy.choice.leastSharedTokens);
 	}
 
-	private noteSent(question: SendAwayQuestion, offer: RemoteOffer, nowMs: number): void {
-		const claims = this.getClaims(offer, nowMs);
-		const workMs = this.computeWork(question);
-		claims.workMs += workMs * this.figures.claimShare;
-		const shared = this.findShared(question.request);
+	private recordSent(context: SendAwayContext, offer: RemoteOffer, nowMs: number): void {
+		const pending = this.getPendingWork(offer, nowMs);
+		const workMs = this.computeWorkMs(context);
+		pending.workMs += workMs * this.options.pendingWorkShare;
+		const shared = this.findSharedPromptPart(context.request);
 		if (shared !== undefined) {
-			this.sentParts.set(createPartKey(offer.region, shared.id), true);
+			this.sentPromptParts.set(createPartKey(offer.region, shared.id), true);
 		}
 	}
 
-	private computeWork({ localRoom }: SendAwayQuestion): number {
-		return localRoom.unloadedMs ?? this.figures.usualWorkMs;
+	private computeWorkMs({ localRoom }: SendAwayContext): number {
+		return localRoom.unloadedMs ?? this.options.defaultWorkMs;
 	}
 
-	private getClaims({ instance, ageMs }: RemoteOffer, nowMs: number): Claims {
-		const spokenMs = nowMs - ageMs;
-		const known = this.claims.get(instance);
+	private getPendingWork({ instance, ageMs }: RemoteOffer, nowMs: number): PendingWork {
+		const offeredMs = nowMs - ageMs;
+		const known = this.pendingWork.get(instance);
 		if (known === undefined) {
-			const opened = { spokenMs, workMs: 0, avoidedUntilMs: 0 };
-			this.claims.set(instance, opened);
-			return opened;
+			const created = { offeredMs, workMs: 0, pausedUntilMs: 0 };
+			this.pendingWork.set(instance, created);
+			return created;
 		}
-		if (spokenMs - known.spokenMs > sameOfferMs) {
-			known.spokenMs = spokenMs;
+		if (offeredMs - known.offeredMs > sameOfferToleranceMs) {
+			known.offeredMs = offeredMs;
 			known.workMs = 0;
 		}
 		return known;
--- a/src/entry/common/sendAway/linkBudget.ts
+++ b/src/entry/common/sendAway/linkBudget.ts
@@ -1,33 +1,35 @@
 /**
- * Counts the bytes that requests sent away put on a link and caps them. Load pattern: a long peak in a
- * region behind a thin link (100 Mb/s). Without it requests queue for the link, each new one waits for all
- * before it, and the link's other traffic waits as well.
+ * Limits the bytes that requests sent to another region put on the network link between the regions. During a
+ * long load peak in a region behind a thin link (100 Mb/s), an unlimited sender makes each new request wait
+ * for the transfer of all earlier ones and delays the other traffic of the link.
  */
 
-/** A token bucket over the bytes of one link. */
+/** A token bucket for the bytes sent over one link. */
 export class LinkBudget {
-	/** Bytes that may be sent now; below 0 while the link has more to carry than its rate. */
-	private balance: number | undefined;
+	/** Bytes that may be sent now. Below 0 while more bytes were sent than the rate has allowed so far. */
+	private availableBytes: number | undefined;
 	private updatedMs = 0;
 
 	constructor(
-		/** Bytes that may go beyond the rate at once, as a time at that rate in milliseconds. */
+		/** Size of the burst allowed beyond the rate, as its transfer time at the full rate in milliseconds. */
 		private readonly burstMs: number,
-		/** Part of the rate that is used. */
-		private readonly use: number,
+		/** Share of the link rate that may be used. */
+		private readonly usableShare: number,
 	) {}
 
-	/** Counts bytes that are sent, or corrects for bytes that were estimated wrongly. */
+	/** Subtracts sent bytes from the budget. A negative count corrects an estimate that was too high. */
 	addBytes(bytes: number): void {
-		this.balance = (this.balance ?? 0) - bytes;
+		this.availableBytes = (this.availableBytes ?? 0) - bytes;
 	}
 
-	/** Whether the bytes may be sent now. A request larger than the burst may go when the link has rested. */
-	hasRoomFor(bytes: number, bytesPerMs: number, nowMs: number): boolean {
-		const most = bytesPerMs * this.burstMs;
-		const earned = (nowMs - this.updatedMs) * bytesPerMs * this.use;
-		this.balance = Math.min(most, (this.balance ?? most) + earned);
+	/**
+	 * Whether the bytes may be sent now. A request larger than the burst is allowed once the budget is full again.
+	 */
+	hasBudgetFor(bytes: number, bytesPerMs: number, nowMs: number): boolean {
+		const burstBytes = bytesPerMs * this.burstMs;
+		const refillBytes = (nowMs - this.updatedMs) * bytesPerMs * this.usableShare;
+		this.availableBytes = Math.min(burstBytes, (this.availableBytes ?? burstBytes) + refillBytes);
 		this.updatedMs = nowMs;
-		return this.balance >= Math.min(bytes, most);
+		return this.availableBytes >= Math.min(bytes, burstBytes);
 	}
 }
--- a/src/entry/common/sendAway/remoteRegion.ts
+++ b/src/entry/common/sendAway/remoteRegion.ts
@@ -1,78 +1,80 @@
 /**
- * What an entry knows of one other region from the requests it sent there: how warm its caches are for
- * them, how many may be in flight, and what the link still carries.
+ * State that an entry keeps about another region, derived from the requests it sent there: how warm the
+ * region's caches are for these requests, how many requests may be in flight, and the remaining link budget.
  *
- * Load pattern: a region was lost and returns with cold caches. Without the steps every sender finds it
- * idle at the same moment, and the load of the whole fleet meets targets that compute each prefix anew.
+ * The in-flight limit starts low and doubles step by step. Otherwise, when a lost region returns with cold
+ * caches, every sender finds it idle at the same moment, and the load of the whole fleet reaches targets that
+ * must compute each prefix again.
  */
 
 import type { SendAwayFigures } from '../scheduling/policy';
 import { FadingSum } from '../scheduling/fadingSum';
 import { LinkBudget } from './linkBudget';
 
-/** Weight of one answer in the mean time of answers, and the multiple of it that counts as slow. */
-const tookWeight = 0.1;
+/** Weight of one request in the moving average of durations. */
+const durationSmoothing = 0.1;
+/** Multiple of the average duration above which a request counts as slow. */
 const slowFactor = 2;
 
-/** One other region as one entry sends to it. */
+/** The state of one remote region at one sending entry. */
 export class RemoteRegion {
 	readonly link: LinkBudget;
-	private readonly answers: FadingSum;
+	private readonly recentAnswers: FadingSum;
 	private inFlight = 0;
-	private meanTookMs: number | undefined;
-	private step: number;
-	private steppedMs = Number.NEGATIVE_INFINITY;
-	private offeredMs = Number.NEGATIVE_INFINITY;
+	private meanDurationMs: number | undefined;
+	private inFlightLimit: number;
+	private limitChangedMs = Number.NEGATIVE_INFINITY;
+	private lastOfferMs = Number.NEGATIVE_INFINITY;
 
-	constructor(private readonly figures: SendAwayFigures) {
-		this.link = new LinkBudget(figures.linkBurstMs, figures.linkUse);
-		this.answers = new FadingSum(figures.warmthFadeMs);
-		this.step = figures.firstStep;
+	constructor(private readonly options: SendAwayFigures) {
+		this.link = new LinkBudget(options.linkBurstMs, options.linkUse);
+		this.recentAnswers = new FadingSum(options.warmthFadeMs);
+		this.inFlightLimit = options.firstStep;
 	}
 
-	/** The region has offered room; after an absence it starts at the first step. */
-	noteOffer(nowMs: number): void {
-		if (nowMs - this.offeredMs > this.figures.absenceMs) {
-			this.step = this.figures.firstStep;
-			this.steppedMs = nowMs;
+	/** Records that the region offered capacity. After an absence the in-flight limit restarts at its first step. */
+	recordOffer(nowMs: number): void {
+		if (nowMs - this.lastOfferMs > this.options.absenceMs) {
+			this.inFlightLimit = this.options.firstStep;
+			this.limitChangedMs = nowMs;
 		}
-		this.offeredMs = Math.max(this.offeredMs, nowMs);
+		this.lastOfferMs = Math.max(this.lastOfferMs, nowMs);
 	}
 
-	/** Whether a further request may be in flight to the region. */
-	hasRoom(): boolean {
-		return this.inFlight < this.step;
+	/** Whether one more request may be in flight to the region. */
+	isBelowLimit(): boolean {
+		return this.inFlight < this.inFlightLimit;
 	}
 
-	/** Cost of its cold caches now, in milliseconds. */
-	computeColdMs(nowMs: number): number {
-		const { coldStartMs, warmAfterAnswers } = this.figures;
-		return coldStartMs * Math.exp(-this.answers.getValue(nowMs) / warmAfterAnswers);
+	/** Expected delay from cold caches in the region, in milliseconds. It decays as requests are answered there. */
+	computeColdCacheCost(nowMs: number): number {
+		const { coldStartMs, warmAfterAnswers } = this.options;
+		return coldStartMs * Math.exp(-this.recentAnswers.getValue(nowMs) / warmAfterAnswers);
 	}
 
-	noteSent(): void {
+	recordSent(): void {
 		this.inFlight++;
 	}
 
 	/**
-	 * A request sent there ended. A step that is full and answered as fast as before is doubled; a failure
-	 * halves it.
+	 * Records the end of a request sent to the region. A fast answer while the in-flight limit is reached doubles
+	 * the limit, at most once per step time. A failure halves it.
 	 */
-	noteEnd(isAnswered: boolean, tookMs: number, nowMs: number): void {
-		const wasFull = this.inFlight >= this.step;
+	recordEnd(isAnswered: boolean, durationMs: number, nowMs: number): void {
+		const wasAtLimit = this.inFlight >= this.inFlightLimit;
 		this.inFlight = Math.max(0, this.inFlight - 1);
 		if (!isAnswered) {
-			this.step = Math.max(this.figures.firstStep, Math.floor(this.step / 2));
-			this.steppedMs = nowMs;
+			this.inFlightLimit = Math.max(this.options.firstStep, Math.floor(this.inFlightLimit / 2));
+			this.limitChangedMs = nowMs;
 			return;
 		}
-		this.answers.add(1, nowMs);
-		const usualMs = this.meanTookMs ?? tookMs;
-		this.meanTookMs = usualMs + tookWeight * (tookMs - usualMs);
-		const isFast = tookMs <= usualMs * slowFactor;
-		if (wasFull && isFast && nowMs - this.steppedMs >= this.figures.stepMs) {
-			this.step *= 2;
-			this.steppedMs = nowMs;
+		this.recentAnswers.add(1, nowMs);
+		const meanMs = this.meanDurationMs ?? durationMs;
+		this.meanDurationMs = meanMs + durationSmoothing * (durationMs - meanMs);
+		const isFast = durationMs <= meanMs * slowFactor;
+		if (wasAtLimit && isFast && nowMs - this.limitChangedMs >= this.options.stepMs) {
+			this.inFlightLimit *= 2;
+			this.limitChangedMs = nowMs;
 		}
 	}
 }
--- a/src/entry/common/sendAway/sendAwayPolicy.ts
+++ b/src/entry/common/sendAway/sendAwayPolicy.ts
@@ -1,62 +1,72 @@
 /**
- * Whether a request that may be answered anywhere is sent to another region. Pure: what is known of the
- * other regions is handed in with its age.
+ * The interface of policies that decide whether a request that any region may answer is sent to another
+ * region. Policies do no I/O: what is known of other regions is passed in, together with its age.
  */
 
 import type { InstanceId, RegionName } from '../../../core/ids/common/ids';
 import type { SchedulableRequest, ServiceRoom } from '../scheduling/serviceScheduler';
 
-/** An entry of another region that has offered room for the service. */
+/** An offer of capacity for the service by an entry of another region. */
 export interface RemoteOffer {
 	readonly instance: InstanceId;
 	readonly region: RegionName;
 	readonly room: ServiceRoom;
-	/** How old the offer is, in milliseconds. */
+	/** Age of the offer, in milliseconds. */
 	readonly ageMs: number;
-	/** One way over the link, in milliseconds. */
+	/** One-way latency of the link, in milliseconds. */
 	readonly oneWayMs: number;
-	/** What the link carries for requests that this entry sends away, in bytes a millisecond. */
+	/** Link bandwidth available to requests that this entry sends to the region, in bytes per millisecond. */
 	readonly linkBytesPerMs: number;
 }
 
-/** The region whose targets should hold a shared part. */
+/** The region whose targets should cache a prompt part shared by several requests. */
 export interface OwnerRegion {
 	readonly region: RegionName;
-	readonly isOwn: boolean;
-	/** Tokens of the part. */
+	/** Whether this is the region of the deciding entry. */
+	readonly isLocal: boolean;
+	/** Length of the shared part in tokens. */
 	readonly tokens: number;
 }
 
-export interface SendAwayQuestion {
+/** The input of one decision. */
+export interface SendAwayContext {
 	readonly request: SchedulableRequest;
 	readonly localRoom: ServiceRoom;
 	readonly offers: readonly RemoteOffer[];
-	/** No target of this region is in use, so a request that stays is refused. */
+	/** Whether no target of this region may serve the request, so that it would be refused if it were kept. */
 	readonly isUnservedHere: boolean;
-	/** Where the shared part of the request's prompt belongs; undefined where it has none that matters. */
+	/** Owner of the shared part of the request's prompt, or undefined if no shared part is large enough to matter. */
 	readonly owner?: OwnerRegion;
 }
 
-export interface SendAwayAnswer {
-	/** The entry to send to, or undefined to stay. */
+/** The result of one decision. */
+export interface SendAwayDecision {
+	/** The entry to send the request to, or undefined to keep it here. */
 	readonly sendTo: InstanceId | undefined;
+	/** Human-readable explanation of the decision. */
 	readonly reason: string;
 }
 
 /** Decides for one service at one entry. */
 export interface ISendAwayPolicy {
-	decide(question: SendAwayQuestion, nowMs: number): SendAwayAnswer;
-	/** The request that was sent away ended; the policy learns from it. */
-	noteEnd(instance: InstanceId, isAnswered: boolean, tookMs: number, bytes: number, nowMs: number): void;
+	decide(context: SendAwayContext, nowMs: number): SendAwayDecision;
+	/** Updates the policy with the result of a request that was sent to another region. */
+	recordEnd(
+		instance: InstanceId,
+		isAnswered: boolean,
+		durationMs: number,
+		bytes: number,
+		nowMs: number,
+	): void;
 }
 
-/** Never sends away: the baseline. */
-export class StayHomePolicy implements ISendAwayPolicy {
-	decide(): SendAwayAnswer {
-		return { sendTo: undefined, reason: 'nothing is sent away' };
+/** Keeps every request in its region. Serves as the baseline in comparisons. */
+export class NeverSendAwayPolicy implements ISendAwayPolicy {
+	decide(): SendAwayDecision {
+		return { sendTo: undefined, reason: 'sending to other regions is disabled' };
 	}
 
-	noteEnd(): void {
+	recordEnd(): void {
 		return;
 	}
 }
--- a/src/entry/common/sendAway/sendAwayShare.ts
+++ b/src/entry/common/sendAway/sendAwayShare.ts
@@ -1,30 +1,33 @@
 /**
- * The share of requests that are sent away, which changes slowly in both directions. Load pattern: offers
- * that lag while several entries decide by them. Without it all entries send everything to a region that
- * looks idle, find it full a second later, stop, and start over: load swings between the regions.
+ * The share of requests sent to other regions, which changes slowly in both directions. Offers lag while
+ * several entries decide by them. Without a slow change all entries send everything to a region that looks
+ * idle, find it full a second later, stop and start over, so that load oscillates between the regions.
  *
- * The rate of change is proportional to the saving, so that the share comes to rest where sending stops
- * being worth it instead of swinging about that point.
+ * The rate of change is proportional to the saving, so that the share settles where sending no longer pays
+ * off instead of oscillating around that point.
  */
 
 import type { SendAwayFigures } from '../scheduling/policy';
 
-/** A gap between decisions longer than this counts as this much, in milliseconds. */
-const longestGapMs = 1_000;
+/** Upper bound on the time between two decisions that one update takes into account. */
+const maxUpdateGapMs = 1_000;
 
-/** Follows the share of one service at one entry. */
+/** Computes the share for one service at one entry. */
 export class SendAwayShare {
 	private share = 0;
 	private updatedMs: number | undefined;
 
-	constructor(private readonly figures: SendAwayFigures) {}
+	constructor(private readonly options: SendAwayFigures) {}
 
-	/** Takes in what sending a request would save now beyond the margin (negative: cost) and gives the share. */
+	/**
+	 * Updates the share from the time that sending a request would save beyond the margin (negative when sending
+	 * costs time) and returns it.
+	 */
 	update(savingMs: number, nowMs: number): number {
-		const gapMs = Math.min(longestGapMs, nowMs - (this.updatedMs ?? nowMs));
+		const gapMs = Math.min(maxUpdateGapMs, nowMs - (this.updatedMs ?? nowMs));
 		this.updatedMs = nowMs;
-		const pull = Math.max(-1, Math.min(1, savingMs / this.figures.fullRateSavingMs));
-		const change = (pull * this.figures.shareChangePerSecond * gapMs) / 1_000;
+		const relativeSaving = Math.max(-1, Math.min(1, savingMs / this.options.fullRateSavingMs));
+		const change = (relativeSaving * this.options.shareChangePerSecond * gapMs) / 1_000;
 		this.share = Math.max(0, Math.min(1, this.share + change));
 		return this.share;
 	}
--- a/src/entry/common/workScheduling/test/engineWorld.ts
+++ b/src/entry/common/workScheduling/test/engineWorld.ts
@@ -224,7 +224,7 @@
 				{ id, tokens: kind.ownTokens },
 			],
 			promptTokens: kind.sharedTokens + kind.ownTokens,
-			mostOutputTokens: 100,
+			maxOutputTokens: 100,
 			hintedOutputTokens: undefined,
 		};
 	}
--- a/src/entry/common/workScheduling/test/targetChooser.test.ts
+++ b/src/entry/common/workScheduling/test/targetChooser.test.ts
@@ -20,7 +20,7 @@
 			{ id, tokens: 2_000 },
 		],
 		promptTokens: 15_000,
-		mostOutputTokens: 100,
+		maxOutputTokens: 100,
 		hintedOutputTokens: undefined,
 	};
 	return createPromptedRequest(id as RequestId, prompt, { aimMs: 1_000, deadlineMs: 10_000, urgency: 1 }, 0);
--- a/src/entry/common/workScheduling/test/workScheduler.test.ts
+++ b/src/entry/common/workScheduling/test/workScheduler.test.ts
@@ -163,7 +163,7 @@
 		const prompt = {
 			parts: [{ id: 'own', tokens: 2_000 }],
 			promptTokens: 2_000,
-			mostOutputTokens: 100,
+			maxOutputTokens: 100,
 			hintedOutputTokens: undefined,
 		};
 		const room = scheduler.measureRoom(0, createPromptedRequest('r-1' as RequestId, prompt, drafts, 0));
--- a/src/entry/node/callHandler.ts
+++ b/src/entry/node/callHandler.ts
@@ -30,10 +30,10 @@
 import type { CallHead, RawHead } from '../common/callers/callHead';
 import type { ICallerDialect } from '../common/dialect/callerDialect';
 import type { LookupAnswer, LookupQuestion } from '../common/callers/lookupAnswer';
-import type { CallPlan, ForwardedFrom } from '../common/placement/callPlan';
-import { checkForwarded, planCall } from '../common/placement/callPlan';
+import type { CallPlan, ForwardOrigin } from '../common/placement/callPlan';
+import { checkForwardedCall, planCall } from '../common/placement/callPlan';
 import { isFinishable } from '../common/leaving/finishable';
-import { listUsable, rankEntries } from '../common/lookup/rankEntries';
+import { listUsableEntries, rankEntries } from '../common/lookup/rankEntries';
 import type { ICallHandler } from './callers/callerServer';
 import type { IEntrySources } from './environment/entryEnvironment';
 import type { EntryFleet, LookupCandidate } from './fleet/entryFleet';
@@ -139,8 +139,8 @@
 			.andThen(plan => this.checkLeaving(plan, head));
 	}
 
-	planForwarded(head: CallHead, from: ForwardedFrom): Result<CallPlan, RequestError> {
-		return this.plan(head).andThen(plan => checkForwarded(plan, from, this.own.region));
+	planForwarded(head: CallHead, from: ForwardOrigin): Result<CallPlan, RequestError> {
+		return this.plan(head).andThen(plan => checkForwardedCall(plan, from, this.own.region));
 	}
 
 	refuseTicketed(ticket: string, error: RequestError): RequestError {
@@ -186,7 +186,7 @@
 	listEntriesFor(host: string, region: RegionName, zone: ZoneName): readonly LookupCandidate[] {
 		const homes = this.manifests.getCurrent()?.index.countHomes(host) ?? new Map();
 		const candidates = [this.ownView.describeCandidate(undefined), ...this.fleet.listCandidates(undefined)];
-		return listUsable(candidates, { region, zone, homes });
+		return listUsableEntries(candidates, { region, zone, homes });
 	}
 
 	exchangeViews(views: readonly EntryView[]): EntryView[] {
--- a/src/entry/node/entry.ts
+++ b/src/entry/node/entry.ts
@@ -20,7 +20,7 @@
 import type { EntrySettings } from '../../core/settings/common/entrySettings';
 import { EntryMetrics } from '../../core/telemetry/node/entryMetrics';
 import { DecisionLogger, writeAuditLines } from '../../core/telemetry/node/logger';
-import { computeTakingMs } from '../common/leaving/shutdownPlan';
+import { computeAcceptMs } from '../common/leaving/shutdownPlan';
 import { RequestIntake } from '../common/intake/requestIntake';
 import { Quarantine } from '../common/quarantine/quarantine';
 import { HeldBytes } from './callers/bodyReader';
@@ -195,14 +195,14 @@
 
 	private async finishAndEnd(sign: string): Promise<void> {
 		const startedMs = this.timers.getNow();
-		const { refusesMs, endsMs } = this.environment.leaving;
+		const { refuseMs: refusesMs, exitMs: endsMs } = this.environment.leaving;
 		this.ownView.setStopping(startedMs + endsMs);
 		const waitUntil = (ms: number): Promise<void> => this.waitFor(startedMs + ms - this.timers.getNow());
 		await this.waitForSuccessor(sign);
 		this.ownView.setLeaving();
 		this.recordProcess('started', 'leaving', sign);
 		void this.fleet.exchangeWithAll();
-		const takingMs = computeTakingMs(this.environment.leaving, this.timers.getNow() - startedMs);
+		const takingMs = computeAcceptMs(this.environment.leaving, this.timers.getNow() - startedMs);
 		await waitUntil(takingMs);
 		this.ownView.setRefusing();
 		await waitUntil(takingMs + refusesMs);
@@ -217,7 +217,7 @@
 
 	/** Ends when another entry of the region takes callers, or when this one can stay no longer. */
 	private async waitForSuccessor(sign: string): Promise<void> {
-		const endsMs = this.timers.getNow() + this.environment.leaving.staysMs;
+		const endsMs = this.timers.getNow() + this.environment.leaving.maxAnnounceDelayMs;
 		let isTold = false;
 		while (!this.hasSuccessor() && this.timers.getNow() < endsMs) {
 			if (!isTold) {
--- a/src/entry/node/environment/entryEnvironment.ts
+++ b/src/entry/node/environment/entryEnvironment.ts
@@ -14,7 +14,7 @@
 import type { ITargetDialect } from '../../common/dialect/targetDialect';
 import type { IServiceScheduler } from '../../common/scheduling/serviceScheduler';
 import type { ISendAwayPolicy } from '../../common/sendAway/sendAwayPolicy';
-import type { LeavingTimes } from '../../common/leaving/shutdownPlan';
+import type { ShutdownTimes } from '../../common/leaving/shutdownPlan';
 import type { CallHandler } from '../callHandler';
 import type { EntryFleet } from '../fleet/entryFleet';
 import type { ManifestKeeper } from '../manifest/manifestKeeper';
@@ -67,7 +67,7 @@
 export interface IEntryEnvironment {
 	readonly callers: ICallerDialect;
 	readonly targets: ITargetDialect;
-	readonly leaving: LeavingTimes;
+	readonly leaving: ShutdownTimes;
 	openPlatform(parts: PlatformParts): EntryPlatform;
 	createScheduler(parts: SchedulerParts): IServiceScheduler;
 	createSendAway(random: IRandom): ISendAwayPolicy;
--- a/src/entry/node/environment/ownEnvironment.ts
+++ b/src/entry/node/environment/ownEnvironment.ts
@@ -6,10 +6,10 @@
 import type { EntrySettings } from '../../../core/settings/common/entrySettings';
 import { OwnCallerDialect } from '../../common/dialect/ownCallerDialect';
 import { OwnTargetDialect } from '../../common/dialect/ownTargetDialect';
-import type { LeavingTimes } from '../../common/leaving/shutdownPlan';
-import { planLeaving } from '../../common/leaving/shutdownPlan';
+import type { ShutdownTimes } from '../../common/leaving/shutdownPlan';
+import { planShutdown } from '../../common/leaving/shutdownPlan';
 import { ServiceScheduler } from '../../common/scheduling/scheduler';
-import { SendAwayPolicy } from '../../common/sendAway/costBasedSendAwayPolicy';
+import { CostBasedSendAwayPolicy } from '../../common/sendAway/costBasedSendAwayPolicy';
 import { TargetRegistry } from '../targets/targetRegistry';
 import type {
 	EntryPlatform,
@@ -26,10 +26,10 @@
 export class OwnEnvironment implements IEntryEnvironment {
 	readonly callers = new OwnCallerDialect();
 	readonly targets = new OwnTargetDialect();
-	readonly leaving: LeavingTimes;
+	readonly leaving: ShutdownTimes;
 
 	constructor(private readonly settings: EntrySettings) {
-		this.leaving = planLeaving(settings.leaving.killed_after_s);
+		this.leaving = planShutdown(settings.leaving.killed_after_s);
 	}
 
 	openPlatform(parts: PlatformParts): EntryPlatform {
@@ -43,8 +43,8 @@
 		return new ServiceScheduler(random);
 	}
 
-	createSendAway(random: IRandom): SendAwayPolicy {
-		return new SendAwayPolicy(random);
+	createSendAway(random: IRandom): CostBasedSendAwayPolicy {
+		return new CostBasedSendAwayPolicy(random);
 	}
 
 	/** Lookups share the callers' port. */
--- a/src/entry/node/fleet/contacts.ts
+++ b/src/entry/node/fleet/contacts.ts
@@ -10,7 +10,7 @@
 import type { InstanceId } from '../../../core/ids/common/ids';
 import type { ListedInstance } from '../../../core/platformClient/common/instanceList';
 import { ListedState } from '../../../core/platformClient/common/instanceList';
-import type { ExchangePlan } from '../../common/fleetView/exchangePlanner';
+import type { ExchangePlanner } from '../../common/fleetView/exchangePlanner';
 import type { FleetView } from '../../common/fleetView/fleetView';
 
 /** One instance to exchange views with; a seed's id shows only once it answers. */
@@ -40,7 +40,7 @@
 	constructor(
 		private readonly own: ContactPlace,
 		private readonly views: FleetView,
-		private readonly plan: ExchangePlan,
+		private readonly plan: ExchangePlanner,
 		private readonly random: IRandom,
 	) {}
 
--- a/src/entry/node/fleet/entryFleet.ts
+++ b/src/entry/node/fleet/entryFleet.ts
@@ -18,10 +18,10 @@
 import type { EntryView as WireView } from '../../../gen/anvilroad/peer/v1/peer_pb';
 import type { EntryView } from '../../common/fleetView/entryView';
 import { findRoom } from '../../common/fleetView/entryView';
-import { ExchangePlan } from '../../common/fleetView/exchangePlanner';
+import { ExchangePlanner } from '../../common/fleetView/exchangePlanner';
 import type { KnownInstance } from '../../common/fleetView/fleetView';
 import { FleetView } from '../../common/fleetView/fleetView';
-import type { KnownEntry as LookupEntry } from '../../common/lookup/rankEntries';
+import type { CandidateEntry as LookupEntry } from '../../common/lookup/rankEntries';
 import { defaultFleetViewFigures } from '../../common/scheduling/policy';
 import type { IEntryDirectory, KnownEntry } from '../../common/tickets/ticketRoute';
 import type { PeerClients, PeerConnection } from '../peers/peerClients';
@@ -55,7 +55,7 @@
 /** Holds what is known of the other entries. */
 export class EntryFleet extends Disposable implements IEntryDirectory {
 	private readonly views: FleetView;
-	private readonly plan: ExchangePlan;
+	private readonly plan: ExchangePlanner;
 	private readonly contacts: Contacts;
 	private readonly lives: InstanceLives;
 	private readonly received = this.register(new Channel<EntryView>());
@@ -73,7 +73,7 @@
 	) {
 		super();
 		this.views = new FleetView(place.id);
-		this.plan = new ExchangePlan(place, this.views, random);
+		this.plan = new ExchangePlanner(place, this.views, random);
 		this.contacts = new Contacts(place, this.views, this.plan, random);
 		this.lives = this.register(new InstanceLives(auditTrail, new FleetSilenceLimits(this.views)));
 		this.register(
@@ -236,7 +236,7 @@
 
 	private noteExchange(instance: InstanceId | undefined, isReached: boolean): void {
 		if (instance !== undefined) {
-			this.views.noteExchange(instance, isReached);
+			this.views.recordExchange(instance, isReached);
 		}
 	}
 
--- a/src/entry/node/fleet/fleetSilenceLimits.ts
+++ b/src/entry/node/fleet/fleetSilenceLimits.ts
@@ -12,10 +12,10 @@
 	constructor(private readonly views: FleetView) {}
 
 	get suspectMs(): number {
-		return this.views.computeSuspectAfter();
+		return this.views.computeSuspectTimeout();
 	}
 
 	get forgetMs(): number {
-		return this.views.computeForgetAfter();
+		return this.views.computeExpiryTimeout();
 	}
 }
--- a/src/entry/node/fleet/test/contacts.test.ts
+++ b/src/entry/node/fleet/test/contacts.test.ts
@@ -1,6 +1,6 @@
 import { SeededRandom } from '../../../../base/common/random';
 import type { InstanceId, RegionName, ZoneName } from '../../../../core/ids/common/ids';
-import { ExchangePlan } from '../../../common/fleetView/exchangePlanner';
+import { ExchangePlanner } from '../../../common/fleetView/exchangePlanner';
 import { FleetView } from '../../../common/fleetView/fleetView';
 import { Contacts } from '../contacts';
 import { createView } from './views';
@@ -11,7 +11,7 @@
 	const random = new SeededRandom(7);
 	const place = { region: 'khomas' as RegionName, zone: 'khomas-a' as ZoneName };
 	const own = { id: 'self' as InstanceId, peerUrl: 'http://self:2', seeds: [seed, 'http://entry-1:2'] };
-	return new Contacts(own, views, new ExchangePlan(place, views, random), random);
+	return new Contacts(own, views, new ExchangePlanner(place, views, random), random);
 }
 
 function countSeedAsks(contacts: Contacts, fromMs: number, periods: number): number {
--- a/src/entry/node/peers/peerServer.ts
+++ b/src/entry/node/peers/peerServer.ts
@@ -39,7 +39,7 @@
 import type { CallHead, RawHead } from '../../common/callers/callHead';
 import { listPassedOn } from '../../common/callers/callHead';
 import type { IsAbandoned, RequestIntake } from '../../common/intake/requestIntake';
-import type { CallPlan, ForwardedFrom } from '../../common/placement/callPlan';
+import type { CallPlan, ForwardOrigin } from '../../common/placement/callPlan';
 import type { HeldBytes } from '../callers/bodyReader';
 import type { AcceptedCall } from '../requests/requestRun';
 import { ClosingSessions } from './closingSessions';
@@ -54,7 +54,7 @@
 	/** Undefined, or what a call must wait for after this process slept. */
 	findHold(): Promise<void> | undefined;
 	/** Checks a forwarded call by this entry's own manifest, before its body is read. */
-	planForwarded(head: CallHead, from: ForwardedFrom): Result<CallPlan, RequestError>;
+	planForwarded(head: CallHead, from: ForwardOrigin): Result<CallPlan, RequestError>;
 	refuseTicketed(ticket: string, error: RequestError): RequestError;
 	/** Reads the head of a call as a caller of this entry would send it. */
 	readHead(raw: RawHead): Result<CallHead, RequestError>;
--- a/src/entry/node/requests/requestRouter.ts
+++ b/src/entry/node/requests/requestRouter.ts
@@ -159,7 +159,7 @@
 		}
 		const isAnswered = end.kind === ForwardEndKind.Answered;
 		const policy = this.surroundings.getSendAwayPolicy(service);
-		policy.noteEnd(to, isAnswered, tookMs, end.sentBytes + end.receivedBytes, this.timers.getNow());
+		policy.recordEnd(to, isAnswered, tookMs, end.sentBytes + end.receivedBytes, this.timers.getNow());
 		this.followForward(run, end, [...tried, to]);
 	}
 
--- a/src/entry/node/requests/routerSurroundings.ts
+++ b/src/entry/node/requests/routerSurroundings.ts
@@ -92,7 +92,7 @@
 			return undefined;
 		}
 		const region = this.targets.findOwnerRegion(call.head.service, shared.id, call.plan.allowedRegions);
-		return region && { region, isOwn: region === this.own.region, tokens: shared.tokens };
+		return region && { region, isLocal: region === this.own.region, tokens: shared.tokens };
 	}
 
 	noteTicket(result: TicketResult): void {
--- a/src/entry/node/test/callHandlerFixtures.ts
+++ b/src/entry/node/test/callHandlerFixtures.ts
@@ -23,7 +23,7 @@
 import { OwnCallerDialect } from '../../common/dialect/ownCallerDialect';
 import type { LookupCandidate } from '../fleet/entryFleet';
 import { ManifestIndex } from '../../common/placement/manifestIndex';
-import { StayHomePolicy } from '../../common/sendAway/sendAwayPolicy';
+import { NeverSendAwayPolicy } from '../../common/sendAway/sendAwayPolicy';
 import { formatTicket } from '../../common/tickets/ticket';
 import { TicketIssuer } from '../../common/tickets/ticketIssuer';
 import { CallHandler } from '../callHandler';
@@ -131,7 +131,7 @@
 function createSurroundings(flow: Flow, runs: ActiveRuns, metrics: EntryMetrics): IRouterSurroundings {
 	return {
 		getRunner: () => flow.runner,
-		getSendAwayPolicy: () => new StayHomePolicy(),
+		getSendAwayPolicy: () => new NeverSendAwayPolicy(),
 		listOffers: () => [],
 		findPeer: () => closedPeer,
 		findRegion: () => region,
