--- /dev/null
+++ b/src/entry/common/sendAway/firstByteSendAwayPolicy.ts
@@ -0,0 +1,233 @@
+/**
+ * Sends a request to another region when that costs callers less than serving it here.
+ *
+ * This covers daily peaks that are offset between regions, a region whose targets are gone or are to receive no
+ * requests, and callers whose requests must be answered in a region other than the one that they reached.
+ * Without it one region answers late, or refuses, while another is idle.
+ *
+ * The cost of a request is the time to its first byte, including the round trip, plus two effects on other
+ * requests. First, reading its prompt slows down the answers that are running at the same target. A region that
+ * keeps its long prompts until they would be late answers these in time, while the answers running beside them
+ * slow down. Second, a region that reads a shared prompt part owned by another region stores a further copy,
+ * which evicts another part. A request that can be answered in time here at little cost to others is kept.
+ *
+ * Offers are some seconds old. The work sent to a peer since its offer is added to the peer's wait. Otherwise
+ * all entries would send everything to the peer that looked emptiest.
+ */
+
+import { LRUCache } from 'lru-cache';
+import type { IRandom } from '../../../base/common/random';
+import type { InstanceId, RegionName } from '../../../core/ids/common/ids';
+import type { PromptPart } from '../prompts/promptShape';
+import { findSharedPart } from '../prompts/promptShape';
+import type { SchedulableRequest, ServiceRoom } from '../scheduling/serviceScheduler';
+import { defaultWorkPolicy } from '../workScheduling/workPolicy';
+import type { ISendAwayPolicy, RemoteOffer, SendAwayContext, SendAwayDecision } from './sendAwayPolicy';
+
+/** Options of the decision. */
+export interface FirstByteSendAwayOptions {
+	/** A request counts as in time here if its wait is at most this share of the time left until it is due. */
+	readonly maxLocalTimeShare: number;
+	/** The same share for the time to the first byte in the other region, whose state is known less precisely. */
+	readonly maxRemoteTimeShare: number;
+	/** Minimum saving that justifies sending, in milliseconds. Twice the prediction error of a lightly loaded target. */
+	readonly minSavingMs: number;
+	/** Offers older than this are ignored, in milliseconds. Long enough for several exchanges of views. */
+	readonly maxOfferAgeMs: number;
+	/** Work assumed for a request when no estimate is available, in milliseconds. */
+	readonly defaultWorkMs: number;
+	/** Share of a sent request's work that later requests wait for. Below 1 because a region has several targets. */
+	readonly pendingWorkShare: number;
+	/** Cost of a further copy of a shared prompt part, as a share of the time to read that part. */
+	readonly copyCostShare: number;
+	/** Prompt tokens that an engine reads per millisecond, as used to estimate the work of requests. */
+	readonly promptTokensPerMs: number;
+	/** Weight of a millisecond of delay to a running answer, relative to a millisecond of the request's own time. */
+	readonly delayWeight: number;
+	/** How long a peer that could not be reached is excluded, in milliseconds. */
+	readonly unreachablePauseMs: number;
+	/** Upper bound of the random increase of a cost, as a share of the cost. */
+	readonly maxJitterShare: number;
+}
+
+export const defaultFirstByteSendAwayOptions: FirstByteSendAwayOptions = {
+	maxLocalTimeShare: 0.7,
+	maxRemoteTimeShare: 0.9,
+	minSavingMs: 60,
+	maxOfferAgeMs: 6_000,
+	defaultWorkMs: 100,
+	pendingWorkShare: 0.3,
+	copyCostShare: defaultWorkPolicy.choice.copyCost,
+	promptTokensPerMs: defaultWorkPolicy.estimate.tokensPerMs,
+	delayWeight: defaultWorkPolicy.choice.delayCost,
+	unreachablePauseMs: 2_000,
+	maxJitterShare: 0.1,
+};
+
+/** The work sent to a peer since its latest offer. */
+interface PendingWork {
+	offeredMs: number;
+	workMs: number;
+	pausedUntilMs: number;
+}
+
+/** An offer with the estimated cost of sending the request there. */
+interface OfferWithCost {
+	readonly offer: RemoteOffer;
+	/** Estimated time to the first byte of the answer. */
+	readonly firstByteMs: number;
+	/** The time to the first byte plus the cost to other requests in that region. */
+	readonly costMs: number;
+}
+
+/** Times computed for the same offer differ by rounding only. Up to this difference an offer is not a new one. */
+const sameOfferToleranceMs = 150;
+
+/** Maximum number of remembered pairs of shared part and region that it was sent to. Bounds memory. */
+const maxSentParts = 4_000;
+
+function createPartKey(region: RegionName, partId: string): string {
+	return `${region}/${partId}`;
+}
+
+/** Decides for one service at one entry, by the time to the first byte and the cost to other requests. */
+export class FirstByteSendAwayPolicy implements ISendAwayPolicy {
+	private readonly pendingWork = new Map<InstanceId, PendingWork>();
+	private readonly sentPromptParts = new LRUCache<string, true>({ max: maxSentParts });
+
+	constructor(
+		private readonly random: IRandom,
+		private readonly options: FirstByteSendAwayOptions = defaultFirstByteSendAwayOptions,
+	) {}
+
+	decide(context: SendAwayContext, nowMs: number): SendAwayDecision {
+		const { request, localRoom, isUnservedHere } = context;
+		const timeLeftMs = (request.work?.dueMs ?? request.deadlineMs) - nowMs;
+		const localMs = isUnservedHere ? Number.POSITIVE_INFINITY : localRoom.waitMs;
+		const localExtraMs = this.computeLocalExtraCost(context);
+		if (localMs <= timeLeftMs * this.options.maxLocalTimeShare && localExtraMs <= this.options.minSavingMs) {
+			return {
+				sendTo: undefined,
+				reason: `local wait ${Math.round(localMs)} ms of ${Math.round(timeLeftMs)} ms left`,
+			};
+		}
+		const best = this.findBestOffer(context, nowMs);
+		if (best === undefined) {
+			return { sendTo: undefined, reason: 'no other region offers capacity' };
+		}
+		const costSummary =
+			`local ${Math.round(localMs)} + ${Math.round(localExtraMs)} ms, ` +
+			`remote ${Math.round(best.firstByteMs)} + ${Math.round(best.costMs - best.firstByteMs)} ms`;
+		const isInTime = best.firstByteMs <= timeLeftMs * this.options.maxRemoteTimeShare;
+		const isBetter = isInTime && best.costMs + this.options.minSavingMs < localMs + localExtraMs;
+		if (!isUnservedHere && !isBetter) {
+			return { sendTo: undefined, reason: costSummary };
+		}
+		this.recordSent(context, best.offer, nowMs);
+		return { sendTo: best.offer.instance, reason: costSummary };
+	}
+
+	recordEnd(
+		instance: InstanceId,
+		isAnswered: boolean,
+		_durationMs: number,
+		bytes: number,
+		nowMs: number,
+	): void {
+		const pending = this.pendingWork.get(instance);
+		if (pending !== undefined && !isAnswered && bytes === 0) {
+			pending.pausedUntilMs = nowMs + this.options.unreachablePauseMs;
+		}
+	}
+
+	/** Cost to other requests of serving the request here, in milliseconds. */
+	private computeLocalExtraCost(context: SendAwayContext): number {
+		const { localRoom, owner } = context;
+		const isCopy = owner?.isLocal !== true && localRoom.holdsSharedPart !== true;
+		const delayMs = this.computeDelayCost(localRoom, localRoom.readingMs ?? 0);
+		return delayMs + (isCopy ? this.computeCopyCost(context) : 0);
+	}
+
+	private findBestOffer(context: SendAwayContext, nowMs: number): OfferWithCost | undefined {
+		let best: OfferWithCost | undefined;
+		for (const offer of context.offers) {
+			const pending = this.getPendingWork(offer, nowMs);
+			if (offer.ageMs > this.options.maxOfferAgeMs || nowMs < pending.pausedUntilMs) {
+				continue;
+			}
+			const waitMs = offer.room.waitMs + pending.workMs;
+			const isCached = this.isSharedPartCachedAt(context, offer);
+			const cachedMs = isCached ? this.computeSharedReadingMs(context) : 0;
+			const workMs = Math.max(0, this.computeWorkMs(context) - cachedMs);
+			const factor = 1 + this.options.maxJitterShare * this.random.pickFraction();
+			const firstByteMs = (waitMs + 2 * offer.oneWayMs + workMs) * factor;
+			const delayMs = this.computeDelayCost(offer.room, this.hasPrompt(context) ? workMs : 0);
+			const copyMs = isCached ? 0 : this.computeCopyCost(context);
+			const costMs = firstByteMs + (delayMs + copyMs) * factor;
+			if (best === undefined || costMs < best.costMs) {
+				best = { offer, firstByteMs, costMs };
+			}
+		}
+		return best;
+	}
+
+	/** Weighted delay that reading the prompt causes to the answers running at the target, in milliseconds. */
+	private computeDelayCost({ runningPerTarget }: ServiceRoom, readingMs: number): number {
+		return this.options.delayWeight * readingMs * (runningPerTarget ?? 0);
+	}
+
+	private hasPrompt({ request }: SendAwayContext): boolean {
+		return request.work?.prompt !== undefined;
+	}
+
+	/** Whether the offering region owns the shared prompt part, or this entry has sent the part there before. */
+	private isSharedPartCachedAt({ request, owner }: SendAwayContext, { region }: RemoteOffer): boolean {
+		const shared = this.findSharedPromptPart(request);
+		return (
+			owner?.region === region ||
+			(shared !== undefined && this.sentPromptParts.has(createPartKey(region, shared.id)))
+		);
+	}
+
+	private computeSharedReadingMs({ owner }: SendAwayContext): number {
+		return (owner?.tokens ?? 0) / this.options.promptTokensPerMs;
+	}
+
+	/** Cost of a further copy of the shared part, which takes cache memory from other parts, in milliseconds. */
+	private computeCopyCost(context: SendAwayContext): number {
+		return this.options.copyCostShare * this.computeSharedReadingMs(context);
+	}
+
+	private findSharedPromptPart({ work }: SchedulableRequest): PromptPart | undefined {
+		return work?.prompt && findSharedPart(work.prompt, defaultWorkPolicy.choice.leastSharedTokens);
+	}
+
+	private recordSent(context: SendAwayContext, offer: RemoteOffer, nowMs: number): void {
+		const pending = this.getPendingWork(offer, nowMs);
+		const workMs = this.computeWorkMs(context);
+		pending.workMs += workMs * this.options.pendingWorkShare;
+		const shared = this.findSharedPromptPart(context.request);
+		if (shared !== undefined) {
+			this.sentPromptParts.set(createPartKey(offer.region, shared.id), true);
+		}
+	}
+
+	private computeWorkMs({ localRoom }: SendAwayContext): number {
+		return localRoom.unloadedMs ?? this.options.defaultWorkMs;
+	}
+
+	private getPendingWork({ instance, ageMs }: RemoteOffer, nowMs: number): PendingWork {
+		const offeredMs = nowMs - ageMs;
+		const known = this.pendingWork.get(instance);
+		if (known === undefined) {
+			const created = { offeredMs, workMs: 0, pausedUntilMs: 0 };
+			this.pendingWork.set(instance, created);
+			return created;
+		}
+		if (offeredMs - known.offeredMs > sameOfferToleranceMs) {
+			known.offeredMs = offeredMs;
+			known.workMs = 0;
+		}
+		return known;
+	}
+}
--- a/src/entry/node/environment/ownEnvironment.ts
+++ b/src/entry/node/environment/ownEnvironment.ts
@@ -6,10 +6,10 @@
 import type { EntrySettings } from '../../../core/settings/common/entrySettings';
 import { NativeCallerDialect } from '../../common/dialect/nativeCallerDialect';
 import { NativeTargetDialect } from '../../common/dialect/nativeTargetDialect';
-import type { LeavingTimes } from '../../common/leaving/planLeaving';
-import { planLeaving } from '../../common/leaving/planLeaving';
+import type { ShutdownTimes } from '../../common/leaving/shutdownPlan';
+import { planShutdown } from '../../common/leaving/shutdownPlan';
 import { ServiceScheduler } from '../../common/scheduling/scheduler';
-import { SendAwayPolicy } from '../../common/sendAway/costedSendAway';
+import { CostBasedSendAwayPolicy } from '../../common/sendAway/costBasedSendAwayPolicy';
 import { TargetRegistry } from '../targets/targetRegistry';
 import type {
 	EntryPlatform,
@@ -26,10 +26,10 @@
 export class OwnEnvironment implements IEntryEnvironment {
 	readonly callers = new NativeCallerDialect();
 	readonly targets = new NativeTargetDialect();
-	readonly leaving: LeavingTimes;
+	readonly leaving: ShutdownTimes;
 
 	constructor(private readonly settings: EntrySettings) {
-		this.leaving = planLeaving(settings.leaving.killed_after_s);
+		this.leaving = planShutdown(settings.leaving.killed_after_s);
 	}
 
 	openPlatform(parts: PlatformParts): EntryPlatform {
@@ -43,8 +43,8 @@
 		return new ServiceScheduler(random);
 	}
 
-	createSendAway(random: IRandom): SendAwayPolicy {
-		return new SendAwayPolicy(random);
+	createSendAway(random: IRandom): CostBasedSendAwayPolicy {
+		return new CostBasedSendAwayPolicy(random);
 	}
 
 	/** Lookups share the callers' port. */
--- a/src/entry/node/requests/requestRouter.ts
+++ b/src/entry/node/requests/requestRouter.ts
@@ -166,7 +166,7 @@
 		}
 		const isAnswered = end.kind === ForwardEndKind.Answered;
 		const policy = this.context.getSendAwayPolicy(service);
-		policy.noteEnd(to, isAnswered, tookMs, end.sentBytes + end.receivedBytes, this.timers.getNow());
+		policy.recordEnd(to, isAnswered, tookMs, end.sentBytes + end.receivedBytes, this.timers.getNow());
 		this.handleForwardEnd(run, end, [...triedEntries, to]);
 	}
 
--- a/src/entry/node/requests/routerContext.ts
+++ b/src/entry/node/requests/routerContext.ts
@@ -96,7 +96,7 @@
 			return undefined;
 		}
 		const region = this.targets.findOwnerRegion(call.head.service, shared.id, call.plan.allowedRegions);
-		return region && { region, isOwn: region === this.ownInstance.region, tokens: shared.tokens };
+		return region && { region, isLocal: region === this.ownInstance.region, tokens: shared.tokens };
 	}
 
 	noteTicket(result: TicketResult): void {
