--- a/src/bench/common/contenders.ts
+++ b/src/bench/common/contenders.ts
@@ -26,7 +26,7 @@
 	create: random =>
 		new ServiceScheduler(random, {
 			...defaultSchedulingPolicy,
-			retry: { ...defaultSchedulingPolicy.retry, budgetMost: Number.MAX_SAFE_INTEGER },
+			retry: { ...defaultSchedulingPolicy.retry, maxSavedRetries: Number.MAX_SAFE_INTEGER },
 		}),
 };
 
--- a/src/bench/common/scenarios/slowTarget.ts
+++ b/src/bench/common/scenarios/slowTarget.ts
@@ -6,7 +6,7 @@
 import { ServiceScheduler } from '../../../entry/common/scheduling/scheduler';
 import type { ScheduleDecision } from '../../../entry/common/scheduling/serviceScheduler';
 import { ScheduleDecisionKind } from '../../../entry/common/scheduling/serviceScheduler';
-import { trialReason } from '../../../entry/common/scheduling/targetChoice';
+import { trialReason } from '../../../entry/common/scheduling/targetChooser';
 import { RequestClass } from '../../../core/requests/common/requestClass';
 import { allContenders, ours } from '../contenders';
 import type { ExperimentResult, ModelEvent } from '../experiment';
--- a/src/entry/common/fleetView/exchangePlan.ts
+++ b/src/entry/common/fleetView/exchangePlan.ts
@@ -10,8 +10,8 @@
 
 import type { IRandom } from '../../../base/common/random';
 import type { InstanceId, RegionName, ZoneName } from '../../../core/ids/common/ids';
-import type { FleetViewFigures } from '../scheduling/policy';
-import { defaultFleetViewFigures } from '../scheduling/policy';
+import type { FleetViewParameters } from '../scheduling/policy';
+import { defaultFleetViewParameters } from '../scheduling/policy';
 import type { EntryView } from './entryView';
 import { estimateViewBytes } from './entryView';
 import type { FleetView, KnownInstance } from './fleetView';
@@ -28,7 +28,7 @@
 		private readonly place: ExchangePlace,
 		private readonly fleet: FleetView,
 		private readonly random: IRandom,
-		private readonly figures: FleetViewFigures = defaultFleetViewFigures,
+		private readonly figures: FleetViewParameters = defaultFleetViewParameters,
 	) {}
 
 	/** The peers to exchange with now, each once. */
--- a/src/entry/common/fleetView/fleetView.ts
+++ b/src/entry/common/fleetView/fleetView.ts
@@ -10,8 +10,8 @@
  */
 
 import type { BootId, InstanceId, ServiceName } from '../../../core/ids/common/ids';
-import type { FleetViewFigures } from '../scheduling/policy';
-import { defaultFleetViewFigures } from '../scheduling/policy';
+import type { FleetViewParameters } from '../scheduling/policy';
+import { defaultFleetViewParameters } from '../scheduling/policy';
 import type { ServiceRoom } from '../scheduling/serviceScheduler';
 import type { EntryView } from './entryView';
 import { estimateViewBytes, findRoom } from './entryView';
@@ -58,7 +58,7 @@
 
 	constructor(
 		private readonly self: InstanceId,
-		private readonly figures: FleetViewFigures = defaultFleetViewFigures,
+		private readonly figures: FleetViewParameters = defaultFleetViewParameters,
 	) {}
 
 	/** Takes views in; gives those that were news, with the age they have here. */
@@ -116,7 +116,7 @@
 		if (record === undefined || told === undefined || neutral === undefined) {
 			return neutral;
 		}
-		const belief = Math.exp((record.spokenMs - nowMs) / this.figures.roomFadeMs);
+		const belief = Math.exp((record.spokenMs - nowMs) / this.figures.roomDecayMs);
 		return computeMixedRoom(neutral, told, belief);
 	}
 
--- a/src/entry/common/fleetView/test/fleetView.test.ts
+++ b/src/entry/common/fleetView/test/fleetView.test.ts
@@ -8,7 +8,7 @@
 	ServiceName,
 	ZoneName,
 } from '../../../../core/ids/common/ids';
-import { defaultFleetViewFigures } from '../../scheduling/policy';
+import { defaultFleetViewParameters } from '../../scheduling/policy';
 import type { EntryView } from '../entryView';
 import { estimateViewBytes } from '../entryView';
 import { ExchangePlan } from '../exchangePlan';
@@ -190,6 +190,6 @@
 		fleet.run(5, 20);
 		expect(fleet.countWith(2)).toBe(nodes);
 		const bytesPerSecond = (fleet.bytes - bytesBefore) / nodes / 15;
-		expect(bytesPerSecond).toBeLessThanOrEqual(defaultFleetViewFigures.bytesPerSecond * 1.1);
+		expect(bytesPerSecond).toBeLessThanOrEqual(defaultFleetViewParameters.bytesPerSecond * 1.1);
 	});
 });
--- a/src/entry/common/lookup/rankEntries.ts
+++ b/src/entry/common/lookup/rankEntries.ts
@@ -11,8 +11,8 @@
 
 import type { IRandom } from '../../../base/common/random';
 import type { InstanceId, RegionName, ZoneName } from '../../../core/ids/common/ids';
-import type { LookupFigures } from '../scheduling/policy';
-import { defaultLookupFigures } from '../scheduling/policy';
+import type { LookupParameters } from '../scheduling/policy';
+import { defaultLookupParameters } from '../scheduling/policy';
 import type { ServiceRoom } from '../scheduling/serviceScheduler';
 
 /** An entry that a caller could be sent to. */
@@ -58,12 +58,12 @@
 	question: LookupQuestion,
 	entries: readonly KnownEntry[],
 	random: IRandom,
-	figures: LookupFigures = defaultLookupFigures,
+	figures: LookupParameters = defaultLookupParameters,
 ): readonly InstanceId[] {
 	const tiers = createTiers(question, entries);
 	const ranked: WeighedEntry[] = [];
 	for (const tier of tiers) {
-		if (ranked.length >= figures.mostNamed) {
+		if (ranked.length >= figures.maxEntries) {
 			break;
 		}
 		weighEntries(tier, figures);
@@ -75,7 +75,7 @@
 	}
 	const kept = findKept(question, ranked, random, figures);
 	const ordered = kept === undefined ? ranked : [kept, ...ranked.filter(item => item !== kept)];
-	return ordered.slice(0, figures.mostNamed).map(item => item.entry.instance);
+	return ordered.slice(0, figures.maxEntries).map(item => item.entry.instance);
 }
 
 /**
@@ -133,14 +133,14 @@
 }
 
 /** Weighs by room; what is not known, or known from long ago, counts as the mean. */
-function weighEntries(weighed: readonly WeighedEntry[], figures: LookupFigures): void {
+function weighEntries(weighed: readonly WeighedEntry[], figures: LookupParameters): void {
 	const told = weighed.filter(item => item.entry.room !== undefined);
 	for (const item of told) {
 		item.weight = computeWeight(item.entry.room, figures);
 	}
 	const mean = computeMean(told);
 	for (const item of weighed) {
-		const belief = item.entry.room === undefined ? 0 : Math.exp(-item.entry.ageMs / figures.roomFadeMs);
+		const belief = item.entry.room === undefined ? 0 : Math.exp(-item.entry.ageMs / figures.roomDecayMs);
 		item.weight = mean + (item.weight - mean) * belief;
 	}
 }
@@ -150,7 +150,7 @@
 }
 
 /** Free slots and one, so that a full entry keeps a little weight, less the longer its wait. */
-function computeWeight(room: ServiceRoom | undefined, { halvingWaitMs }: LookupFigures): number {
+function computeWeight(room: ServiceRoom | undefined, { halvingWaitMs }: LookupParameters): number {
 	return room === undefined ? 1 : (room.freeSlots + 1) / (1 + room.waitMs / halvingWaitMs);
 }
 
@@ -159,7 +159,7 @@
 	{ previous }: LookupQuestion,
 	ranked: readonly WeighedEntry[],
 	random: IRandom,
-	figures: LookupFigures,
+	figures: LookupParameters,
 ): WeighedEntry | undefined {
 	const present = ranked.find(item => item.entry.instance === previous);
 	const [best] = ranked;
@@ -167,6 +167,6 @@
 		return undefined;
 	}
 	const mean = computeMean(ranked.filter(item => item.tier === best.tier));
-	const isGood = present.tier === best.tier && present.weight >= mean * figures.poorShare;
+	const isGood = present.tier === best.tier && present.weight >= mean * figures.moveBelowShare;
 	return isGood || random.pickFraction() >= figures.moveShare ? present : undefined;
 }
--- a/src/entry/common/scheduling/admission.ts
+++ b/src/entry/common/scheduling/admission.ts
@@ -19,7 +19,7 @@
 import type { WorkEstimator } from './workEstimator';
 
 /** Why a request is not let in. */
-export interface AdmissionFault {
+export interface AdmissionRefusal {
 	readonly kind: ErrorKind;
 	readonly detail: string;
 }
@@ -35,7 +35,7 @@
 	) {}
 
 	/** Why an arriving request cannot be taken in, or undefined where it can. */
-	findFault(request: SchedulableRequest, nowMs: number): AdmissionFault | undefined {
+	findRefusal(request: SchedulableRequest, nowMs: number): AdmissionRefusal | undefined {
 		const lane = this.lanes.getLane(request.requestClass);
 		if (this.pool.targets.length === 0) {
 			return { kind: ErrorKind.NoTarget, detail: 'no target is in use' };
@@ -43,19 +43,19 @@
 		if (this.pool.isDown(nowMs)) {
 			return { kind: ErrorKind.NoTarget, detail: 'every target is paused after failed attempts' };
 		}
-		if (lane.queue.countOf(request.organisation) >= this.policy.maxQueued - this.lanes.size) {
+		if (lane.queue.countQueued(request.organisation) >= this.policy.maxQueued - this.lanes.size) {
 			return { kind: ErrorKind.Overloaded, detail: `${this.lanes.size} requests wait` };
 		}
-		if (this.isProbe(lane)) {
-			return request.deadlineMs > nowMs ? undefined : createLateFault(0, 0, 0);
+		if (this.isIdle(lane)) {
+			return request.deadlineMs > nowMs ? undefined : createDeadlineRefusal(0, 0, 0);
 		}
-		return this.findTimeFault(lane, request, nowMs);
+		return this.findTimeRefusal(lane, request, nowMs);
 	}
 
 	/** Predicted wait of a request that arrives now; all the time it has where it would be refused. */
 	estimateWait(request: SchedulableRequest, nowMs: number): number {
 		const leftMs = Math.max(0, request.deadlineMs - nowMs);
-		if (this.findFault(request, nowMs) !== undefined) {
+		if (this.findRefusal(request, nowMs) !== undefined) {
 			return leftMs;
 		}
 		const { organisation, requestClass, organisationWeight: weight = 1 } = request;
@@ -63,29 +63,29 @@
 	}
 
 	/** Whether a waiting request, served after `aheadMs` of work, can still be answered in time. */
-	isReachable(lane: ClassLane, request: SchedulableRequest, aheadMs: number, nowMs: number): boolean {
+	isDeadlineReachable(lane: ClassLane, request: SchedulableRequest, aheadMs: number, nowMs: number): boolean {
 		const leftMs = request.deadlineMs - nowMs;
 		if (lane.running === 0 && lane.queue.size === 1) {
 			return leftMs > 0;
 		}
 		const runMs = this.estimateRun(request);
-		return this.predictor.estimateAfter(lane, aheadMs, leftMs) + runMs <= leftMs;
+		return this.predictor.estimateWaitAfter(lane, aheadMs, leftMs) + runMs <= leftMs;
 	}
 
 	/** Whether a request that could start now would end in time. */
 	isStartable(lane: ClassLane, request: SchedulableRequest, nowMs: number): boolean {
-		const runMs = this.isProbe(lane) ? 0 : this.estimateRun(request);
+		const runMs = this.isIdle(lane) ? 0 : this.estimateRun(request);
 		return nowMs + runMs < request.deadlineMs;
 	}
 
-	private findTimeFault(
+	private findTimeRefusal(
 		lane: ClassLane,
 		request: SchedulableRequest,
 		nowMs: number,
-	): AdmissionFault | undefined {
+	): AdmissionRefusal | undefined {
 		const { organisation, organisationWeight: weight = 1 } = request;
 		const leftMs = request.deadlineMs - nowMs;
-		const runMs = this.estimateCautiousRun(request);
+		const runMs = this.estimateRunWithMargin(request);
 		const waitMs = this.predictor.estimateWait(lane, organisation, weight, leftMs);
 		const spareMs = leftMs - runMs;
 		if (spareMs > 0 && waitMs <= spareMs * lane.policy.waitShare) {
@@ -96,7 +96,7 @@
 			return { kind: ErrorKind.OrganisationOverShare, detail };
 		}
 		if (waitMs + runMs > leftMs) {
-			return createLateFault(waitMs, runMs, leftMs);
+			return createDeadlineRefusal(waitMs, runMs, leftMs);
 		}
 		return { kind: ErrorKind.Overloaded, detail: `the wait would be ${Math.round(waitMs)} ms` };
 	}
@@ -106,7 +106,7 @@
 	 * this, one spell of slow answers could raise the estimate above every deadline; then all are refused,
 	 * no run ever corrects the estimate, and the class stays refused for good.
 	 */
-	private isProbe(lane: ClassLane): boolean {
+	private isIdle(lane: ClassLane): boolean {
 		return lane.running === 0 && lane.queue.size === 0;
 	}
 
@@ -114,13 +114,13 @@
 		return this.estimator.estimate(request.organisation, request.requestClass);
 	}
 
-	private estimateCautiousRun(request: SchedulableRequest): number {
+	private estimateRunWithMargin(request: SchedulableRequest): number {
 		const { organisation, requestClass } = request;
-		return this.estimator.estimateCautious(organisation, requestClass, this.policy.runDeviations);
+		return this.estimator.estimateWithMargin(organisation, requestClass, this.policy.runDeviations);
 	}
 }
 
-function createLateFault(waitMs: number, runMs: number, leftMs: number): AdmissionFault {
+function createDeadlineRefusal(waitMs: number, runMs: number, leftMs: number): AdmissionRefusal {
 	const times = [waitMs, runMs, leftMs].map(Math.round).join(' + ');
 	return { kind: ErrorKind.DeadlineUnreachable, detail: `wait + run + time left in ms: ${times}` };
 }
--- a/src/entry/common/scheduling/attempt.ts
+++ b/src/entry/common/scheduling/attempt.ts
@@ -16,7 +16,7 @@
 	readonly expectedMs: number;
 	readonly isTrial: boolean;
 	/** It holds the target's one place for requests that must run apart. */
-	readonly isApart: boolean;
+	readonly isCrashSuspect: boolean;
 	hasFirstByte: boolean;
 	/** Its lateness has been noted before its end. */
 	isOverdue: boolean;
@@ -28,14 +28,14 @@
 	/** Its place in the queue, while it waits for its first attempt. */
 	queued: QueuedRequest | undefined;
 	running: RunningAttempt | undefined;
-	readonly tried: TargetId[];
+	readonly triedTargets: TargetId[];
 	/** Some attempt may have run. Never taken back: a later refusal must not tell the caller otherwise. */
 	mayHaveRun: boolean;
 	/** Why the last attempt failed, or the first one that may have run. */
 	fault: ErrorKind | undefined;
 }
 
-const faultsByEnd: Readonly<Record<AttemptEnd, ErrorKind | undefined>> = {
+const errorKindsByEnd: Readonly<Record<AttemptEnd, ErrorKind | undefined>> = {
 	[AttemptEnd.Answered]: undefined,
 	[AttemptEnd.Cancelled]: undefined,
 	[AttemptEnd.TargetRefused]: ErrorKind.TargetRefused,
@@ -46,15 +46,15 @@
 };
 
 /** Whether an attempt that ended so cannot have run. */
-export function isUnrun(end: AttemptEnd): boolean {
+export function isNotRun(end: AttemptEnd): boolean {
 	return end === AttemptEnd.TargetRefused || end === AttemptEnd.NotConnected;
 }
 
 /** Notes a failed attempt on its request. */
-export function noteFailure(held: HeldRequest, target: TargetId, end: AttemptEnd): void {
-	held.tried.push(target);
+export function recordFailure(held: HeldRequest, target: TargetId, end: AttemptEnd): void {
+	held.triedTargets.push(target);
 	if (!held.mayHaveRun) {
-		held.fault = faultsByEnd[end];
+		held.fault = errorKindsByEnd[end];
 	}
-	held.mayHaveRun ||= !isUnrun(end);
+	held.mayHaveRun ||= !isNotRun(end);
 }
--- a/src/entry/common/scheduling/attemptObserver.ts
+++ b/src/entry/common/scheduling/attemptObserver.ts
@@ -4,9 +4,9 @@
  */
 
 import type { HeldRequest, RunningAttempt } from './attempt';
-import { isUnrun } from './attempt';
+import { isNotRun } from './attempt';
 import type { ClassLanes } from './classLanes';
-import type { SpeedPolicy } from './policy';
+import type { OutlierPolicy } from './policy';
 import type { RetryBudget } from './retryBudget';
 import { AttemptEnd } from './serviceScheduler';
 import type { TargetPool } from './targetPool';
@@ -15,7 +15,7 @@
 /** Learns for one service. */
 export class AttemptObserver {
 	constructor(
-		private readonly policy: SpeedPolicy,
+		private readonly policy: OutlierPolicy,
 		private readonly lanes: ClassLanes,
 		private readonly pool: TargetPool,
 		private readonly estimator: WorkEstimator,
@@ -28,11 +28,11 @@
 		const { use, id } = attempt.target;
 		lane.running++;
 		use.running++;
-		use.runningReserved += lane.policy.reservedShare > 0 ? 1 : 0;
-		use.runningApart += attempt.isApart ? 1 : 0;
-		this.pool.noteStart(use, attempt.expectedMs, nowMs);
+		use.runningOutsideReserve += lane.policy.reservedShare > 0 ? 1 : 0;
+		use.runningCrashSuspects += attempt.isCrashSuspect ? 1 : 0;
+		this.pool.recordStart(use, attempt.expectedMs, nowMs);
 		if (attempt.isTrial) {
-			this.pool.speed.beginTrial(id, nowMs);
+			this.pool.outlierDetector.beginTrial(id, nowMs);
 		}
 		this.pool.updateFree(attempt.target, nowMs);
 	}
@@ -40,7 +40,7 @@
 	/** The answer began, so the target is alive. */
 	noteFirstByte(attempt: RunningAttempt, nowMs: number): void {
 		attempt.hasFirstByte = true;
-		this.pool.noteAlive(attempt.target.use);
+		this.pool.clearFailures(attempt.target.use);
 		this.pool.updateFree(attempt.target, nowMs);
 	}
 
@@ -52,17 +52,17 @@
 		const lane = this.lanes.getLane(requestClass);
 		lane.running--;
 		use.running--;
-		use.runningReserved -= lane.policy.reservedShare > 0 ? 1 : 0;
-		use.runningApart -= attempt.isApart ? 1 : 0;
+		use.runningOutsideReserve -= lane.policy.reservedShare > 0 ? 1 : 0;
+		use.runningCrashSuspects -= attempt.isCrashSuspect ? 1 : 0;
 		if (attempt.isTrial) {
-			this.pool.speed.endTrial(id);
+			this.pool.outlierDetector.endTrial(id);
 		}
 		this.lanes.addCharge(requestClass, organisation, ranMs - attempt.expectedMs);
-		this.noteHealth(attempt, end, nowMs);
+		this.updateHealth(attempt, end, nowMs);
 		if (end === AttemptEnd.Answered) {
-			this.noteAnswer(held, attempt, ranMs);
-		} else if (ranMs > attempt.expectedMs && !isUnrun(end)) {
-			this.noteCutRun(held, attempt, ranMs);
+			this.recordAnswer(held, attempt, ranMs);
+		} else if (ranMs > attempt.expectedMs && !isNotRun(end)) {
+			this.recordInterruptedRun(held, attempt, ranMs);
 		}
 		this.pool.updateFree(attempt.target, nowMs);
 	}
@@ -72,42 +72,42 @@
 		const ranMs = nowMs - attempt.startedMs;
 		if (!attempt.isOverdue && ranMs > attempt.expectedMs * this.policy.overdueFactor) {
 			attempt.isOverdue = true;
-			this.pool.speed.note(attempt.target.id, ranMs, attempt.expectedMs);
+			this.pool.outlierDetector.recordRun(attempt.target.id, ranMs, attempt.expectedMs);
 		}
 	}
 
-	private noteAnswer(held: HeldRequest, attempt: RunningAttempt, ranMs: number): void {
+	private recordAnswer(held: HeldRequest, attempt: RunningAttempt, ranMs: number): void {
 		const { requestClass, organisation } = held.request;
-		this.estimator.note(organisation, requestClass, ranMs);
-		this.pool.speed.note(attempt.target.id, ranMs, attempt.expectedMs);
-		if (held.tried.length === 0) {
-			this.budget.noteFreshSuccess();
+		this.estimator.recordRun(organisation, requestClass, ranMs);
+		this.pool.outlierDetector.recordRun(attempt.target.id, ranMs, attempt.expectedMs);
+		if (held.triedTargets.length === 0) {
+			this.budget.recordFirstAttemptSuccess();
 		}
 	}
 
 	/** A run that was cut off would have lasted longer still; dropping it would keep the estimate too low. */
-	private noteCutRun(held: HeldRequest, attempt: RunningAttempt, ranMs: number): void {
+	private recordInterruptedRun(held: HeldRequest, attempt: RunningAttempt, ranMs: number): void {
 		const { requestClass, organisation } = held.request;
-		this.estimator.note(organisation, requestClass, ranMs);
+		this.estimator.recordRun(organisation, requestClass, ranMs);
 		if (!attempt.isOverdue) {
-			this.pool.speed.note(attempt.target.id, ranMs, attempt.expectedMs);
+			this.pool.outlierDetector.recordRun(attempt.target.id, ranMs, attempt.expectedMs);
 		}
 	}
 
-	private noteHealth(attempt: RunningAttempt, end: AttemptEnd, nowMs: number): void {
+	private updateHealth(attempt: RunningAttempt, end: AttemptEnd, nowMs: number): void {
 		const { use } = attempt.target;
 		switch (end) {
 			case AttemptEnd.Answered:
-				this.pool.noteAlive(use);
+				this.pool.clearFailures(use);
 				return;
 			case AttemptEnd.TargetRefused:
-				use.noteOverload(nowMs);
-				this.pool.notePause(use, nowMs);
+				use.cutLimit(nowMs);
+				this.pool.pauseTarget(use, nowMs);
 				return;
 			case AttemptEnd.NotConnected:
 			case AttemptEnd.Failed:
 			case AttemptEnd.Erred:
-				this.pool.notePause(use, nowMs);
+				this.pool.pauseTarget(use, nowMs);
 				return;
 			case AttemptEnd.Silent:
 			case AttemptEnd.Cancelled:
--- a/src/entry/common/scheduling/classLanes.ts
+++ b/src/entry/common/scheduling/classLanes.ts
@@ -13,13 +13,13 @@
 import type { ClassPolicy } from './policy';
 
 /** Times in which the means of running requests follow 63% of a change, in milliseconds. */
-const shortMs = 1_000;
-const longMs = 20_000;
+const shortWindowMs = 1_000;
+const longWindowMs = 20_000;
 /**
  * Square roots of the mean demand of the more urgent classes that are kept free beside it. Measured: with 2
  * drafts are refused at 0.8 of the capacity, with 1 questions wait 5% longer among drafts.
  */
-const demandDeviations = 1.5;
+const demandReserveFactor = 1.5;
 
 /** The queue of one class and what of the class runs. */
 export class ClassLane {
@@ -33,7 +33,7 @@
 	private shortDemand = 0;
 	private longDemand = 0;
 	/** Work served, divided by the weight of the class. */
-	tag = 0;
+	startTag = 0;
 
 	constructor(
 		readonly requestClass: RequestClass,
@@ -92,7 +92,7 @@
 	push(item: QueuedRequest): void {
 		const lane = this.getLane(item.request.requestClass);
 		if (lane.queue.size === 0) {
-			lane.tag = Math.max(lane.tag, this.virtualTime);
+			lane.startTag = Math.max(lane.startTag, this.virtualTime);
 		}
 		lane.queue.push(item, item.request.organisationWeight ?? 1);
 	}
@@ -101,7 +101,7 @@
 	pickLane(canServe: (lane: ClassLane) => boolean): ClassLane | undefined {
 		let best: ClassLane | undefined;
 		for (const lane of this.lanes) {
-			if (lane.queue.size > 0 && (best === undefined || lane.tag < best.tag) && canServe(lane)) {
+			if (lane.queue.size > 0 && (best === undefined || lane.startTag < best.startTag) && canServe(lane)) {
 				best = lane;
 			}
 		}
@@ -115,7 +115,7 @@
 	 * several entries make up for each other in part, so `meanShare`, this entry's part of the targets, counts
 	 * by its own root. A lane without a reserve is bounded by the targets alone.
 	 */
-	computeOpenSlots(lane: ClassLane, totalSlots: number, meanShare: number): number {
+	computeSlotLimit(lane: ClassLane, totalSlots: number, meanShare: number): number {
 		const { weight, reservedShare } = lane.policy;
 		if (reservedShare === 0) {
 			return Number.POSITIVE_INFINITY;
@@ -128,7 +128,7 @@
 				weights += other.policy.weight;
 			}
 		}
-		const spare = demandDeviations * Math.sqrt(needed * Math.sqrt(meanShare));
+		const spare = demandReserveFactor * Math.sqrt(needed * Math.sqrt(meanShare));
 		const reserve = Math.max(totalSlots * reservedShare, needed + spare);
 		return Math.max(1, (totalSlots * weight) / weights, totalSlots - reserve);
 	}
@@ -142,26 +142,26 @@
 		for (const other of this.lanes) {
 			weights += other !== lane && other.queue.size > 0 ? other.policy.weight : 0;
 		}
-		return Math.max(0, lane.tag - this.virtualTime) * weights;
+		return Math.max(0, lane.startTag - this.virtualTime) * weights;
 	}
 
 	/** Charges a lane for work that it has been served. */
-	noteServed(lane: ClassLane, workMs: number): void {
-		this.virtualTime = Math.max(this.virtualTime, lane.tag);
-		lane.tag += workMs / lane.policy.weight;
+	recordServed(lane: ClassLane, workMs: number): void {
+		this.virtualTime = Math.max(this.virtualTime, lane.startTag);
+		lane.startTag += workMs / lane.policy.weight;
 	}
 
 	/** Corrects the charges of a request whose run took `differenceMs` more than estimated. */
 	addCharge(requestClass: RequestClass, organisation: OrganisationName, differenceMs: number): void {
 		const lane = this.getLane(requestClass);
-		lane.tag = Math.max(0, lane.tag + differenceMs / lane.policy.weight);
+		lane.startTag = Math.max(0, lane.startTag + differenceMs / lane.policy.weight);
 		lane.queue.addCharge(organisation, differenceMs);
 	}
 
 	/** Follows the mean number of running requests. */
 	updateMeans(elapsedMs: number): void {
-		const shortWeight = 1 - Math.exp(-elapsedMs / shortMs);
-		const longWeight = 1 - Math.exp(-elapsedMs / longMs);
+		const shortWeight = 1 - Math.exp(-elapsedMs / shortWindowMs);
+		const longWeight = 1 - Math.exp(-elapsedMs / longWindowMs);
 		for (const lane of this.lanes) {
 			lane.updateMeans(shortWeight, longWeight);
 		}
--- a/src/entry/common/scheduling/fadingSum.ts
+++ b/src/entry/common/scheduling/decayingSum.ts
@@ -2,21 +2,21 @@
  * A sum whose parts lose weight as they age, so that it tells the load of late without keeping a history.
  */
 
-export class FadingSum {
+export class DecayingSum {
 	private sum = 0;
-	private atMs = 0;
+	private updatedMs = 0;
 
 	constructor(
 		/** Time in which a part loses 63% of its weight, in milliseconds. */
-		private readonly fadeMs: number,
+		private readonly decayMs: number,
 	) {}
 
 	add(amount: number, nowMs: number): void {
 		this.sum = this.getValue(nowMs) + amount;
-		this.atMs = nowMs;
+		this.updatedMs = nowMs;
 	}
 
 	getValue(nowMs: number): number {
-		return this.sum * Math.exp((this.atMs - nowMs) / this.fadeMs);
+		return this.sum * Math.exp((this.updatedMs - nowMs) / this.decayMs);
 	}
 }
--- a/src/entry/common/scheduling/fairQueue.ts
+++ b/src/entry/common/scheduling/fairQueue.ts
@@ -30,19 +30,19 @@
 	head: number;
 	queuedWorkMs: number;
 	queuedCount: number;
-	tag: number;
+	startTag: number;
 	/** Corrections that join the tag at the next take: the tag of a flow in the heap must stand still. */
-	openChargeMs: number;
+	pendingChargeMs: number;
 	isInHeap: boolean;
 }
 
 /** Taken items stay in the array until this many lie before the head, so that a take costs no copy. */
-const compactAfter = 64;
+const compactionThreshold = 64;
 
 /** The queue of one class. */
 export class FairQueue {
 	private readonly flows = new Map<OrganisationName, Flow>();
-	private readonly order = new Heap<Flow>((left, right) => left.tag - right.tag);
+	private readonly flowsByStartTag = new Heap<Flow>((left, right) => left.startTag - right.startTag);
 	private virtualTime = 0;
 	private activeWeight = 0;
 	private workMs = 0;
@@ -75,16 +75,16 @@
 		this.workMs += item.workMs;
 		this.count++;
 		if (!flow.isInHeap) {
-			flow.tag = Math.max(flow.tag, this.virtualTime);
+			flow.startTag = Math.max(flow.startTag, this.virtualTime);
 			flow.isInHeap = true;
-			this.order.push(flow);
+			this.flowsByStartTag.push(flow);
 		}
 	}
 
 	/** Takes the next request of the organisation that has been served least. */
 	take(): QueuedRequest | undefined {
 		for (;;) {
-			const flow = this.order.pop();
+			const flow = this.flowsByStartTag.pop();
 			if (flow === undefined) {
 				return undefined;
 			}
@@ -93,13 +93,13 @@
 			if (item === undefined) {
 				continue;
 			}
-			this.virtualTime = Math.max(this.virtualTime, flow.tag);
-			flow.openChargeMs += item.workMs;
+			this.virtualTime = Math.max(this.virtualTime, flow.startTag);
+			flow.pendingChargeMs += item.workMs;
 			this.applyCharge(flow);
 			this.noteRemoval(flow, item);
 			if (flow.queuedCount > 0) {
 				flow.isInHeap = true;
-				this.order.push(flow);
+				this.flowsByStartTag.push(flow);
 			}
 			return item;
 		}
@@ -121,7 +121,7 @@
 		if (flow === undefined) {
 			return;
 		}
-		flow.openChargeMs += workMs;
+		flow.pendingChargeMs += workMs;
 		if (!flow.isInHeap) {
 			this.applyCharge(flow);
 		}
@@ -134,15 +134,15 @@
 	computeWorkAhead(organisation: OrganisationName, weight: number): number {
 		const flow = this.flows.get(organisation);
 		if (flow === undefined || flow.queuedCount === 0) {
-			const lag = flow === undefined ? 0 : this.computeLag(flow);
-			return Math.min(this.workMs, lag * (this.activeWeight + weight));
+			const delay = flow === undefined ? 0 : this.computeVirtualDelay(flow);
+			return Math.min(this.workMs, delay * (this.activeWeight + weight));
 		}
-		const turns = this.computeLag(flow) + flow.queuedWorkMs / flow.weight;
+		const turns = this.computeVirtualDelay(flow) + flow.queuedWorkMs / flow.weight;
 		return Math.min(this.workMs, turns * this.activeWeight);
 	}
 
 	/** Requests of one organisation that wait here. */
-	countOf(organisation: OrganisationName): number {
+	countQueued(organisation: OrganisationName): number {
 		return this.flows.get(organisation)?.queuedCount ?? 0;
 	}
 
@@ -160,25 +160,28 @@
 	 * Walks what waits, each organisation's in its order, with the work served before each; requests that
 	 * the callback wants out are removed.
 	 */
-	removeWhere(isOut: (item: QueuedRequest, workAheadMs: number) => boolean): void {
+	removeWhere(isRemovable: (item: QueuedRequest, workAheadMs: number) => boolean): void {
 		for (const flow of this.flows.values()) {
 			if (flow.queuedCount > 0) {
-				this.removeFromFlow(flow, isOut);
+				this.removeFromFlow(flow, isRemovable);
 			}
 		}
 	}
 
-	private removeFromFlow(flow: Flow, isOut: (item: QueuedRequest, workAheadMs: number) => boolean): void {
+	private removeFromFlow(
+		flow: Flow,
+		isRemovable: (item: QueuedRequest, workAheadMs: number) => boolean,
+	): void {
 		let ownMs = 0;
-		const lag = this.computeLag(flow);
+		const delay = this.computeVirtualDelay(flow);
 		const kept: QueuedRequest[] = [];
 		for (const item of flow.items.slice(flow.head)) {
 			if (item.isRemoved) {
 				continue;
 			}
 			const othersMs = this.workMs - item.workMs;
-			const aheadMs = Math.min(othersMs, (lag + ownMs / flow.weight) * this.activeWeight);
-			if (isOut(item, aheadMs)) {
+			const aheadMs = Math.min(othersMs, (delay + ownMs / flow.weight) * this.activeWeight);
+			if (isRemovable(item, aheadMs)) {
 				this.remove(item);
 				continue;
 			}
@@ -190,19 +193,19 @@
 	}
 
 	private applyCharge(flow: Flow): void {
-		flow.tag = Math.max(this.virtualTime, flow.tag + flow.openChargeMs / flow.weight);
-		flow.openChargeMs = 0;
+		flow.startTag = Math.max(this.virtualTime, flow.startTag + flow.pendingChargeMs / flow.weight);
+		flow.pendingChargeMs = 0;
 	}
 
 	/** How far an organisation's turn lies ahead, its open charges included. */
-	private computeLag(flow: Flow): number {
-		return Math.max(0, flow.tag + flow.openChargeMs / flow.weight - this.virtualTime);
+	private computeVirtualDelay(flow: Flow): number {
+		return Math.max(0, flow.startTag + flow.pendingChargeMs / flow.weight - this.virtualTime);
 	}
 
 	private takeHead(flow: Flow): QueuedRequest | undefined {
 		while (flow.head < flow.items.length) {
 			const item = flow.items[flow.head++];
-			if (flow.head >= compactAfter) {
+			if (flow.head >= compactionThreshold) {
 				flow.items.splice(0, flow.head);
 				flow.head = 0;
 			}
@@ -240,8 +243,8 @@
 				head: 0,
 				queuedWorkMs: 0,
 				queuedCount: 0,
-				tag: 0,
-				openChargeMs: 0,
+				startTag: 0,
+				pendingChargeMs: 0,
 				isInHeap: false,
 			};
 			this.flows.set(organisation, flow);
--- a/src/entry/common/scheduling/fifoScheduler.ts
+++ b/src/entry/common/scheduling/fifoScheduler.ts
@@ -15,9 +15,9 @@
 } from './serviceScheduler';
 import { ScheduleDecisionKind } from './serviceScheduler';
 
-const comeBackMs = 1_000;
+const fixedRetryAfterMs = 1_000;
 
-interface TargetUse {
+interface TargetState {
 	readonly target: SchedulableTarget;
 	running: number;
 }
@@ -26,7 +26,7 @@
 export class FifoScheduler implements IServiceScheduler {
 	private readonly waiting: SchedulableRequest[] = [];
 	private readonly runningOn = new Map<RequestId, TargetId>();
-	private targets = new Map<TargetId, TargetUse>();
+	private targets = new Map<TargetId, TargetState>();
 
 	setTargets(targets: readonly SchedulableTarget[]): void {
 		const previous = this.targets;
@@ -112,7 +112,7 @@
 		if (usable.length === 0) {
 			return this.createRefusal(request, ErrorKind.NoTarget, 'no target is in use');
 		}
-		const best = this.findLeastUsed(usable);
+		const best = this.findLeastLoaded(usable);
 		if (best === undefined) {
 			return undefined;
 		}
@@ -126,16 +126,16 @@
 		};
 	}
 
-	private findLeastUsed(usable: readonly TargetUse[]): TargetUse | undefined {
+	private findLeastLoaded(usable: readonly TargetState[]): TargetState | undefined {
 		const free = usable.filter(use => use.running < Math.max(1, use.target.slots * use.target.share));
-		return free.reduce<TargetUse | undefined>(
+		return free.reduce<TargetState | undefined>(
 			(best, use) => (best === undefined || use.running < best.running ? use : best),
 			undefined,
 		);
 	}
 
 	private createRefusal(request: SchedulableRequest, kind: ErrorKind, detail: string): ScheduleDecision {
-		const error = createRequestError(kind, detail, { retryAfterMs: comeBackMs });
+		const error = createRequestError(kind, detail, { retryAfterMs: fixedRetryAfterMs });
 		return { kind: ScheduleDecisionKind.Refuse, requestId: request.id, error };
 	}
 }
--- a/src/entry/common/scheduling/freeTargets.ts
+++ b/src/entry/common/scheduling/freeTargets.ts
@@ -10,7 +10,7 @@
 /** A set that members can be drawn from at random in constant time. */
 export class FreeTargets<TTarget extends { readonly id: TargetId }> {
 	private readonly members: TTarget[] = [];
-	private readonly places = new Map<TargetId, number>();
+	private readonly indexes = new Map<TargetId, number>();
 
 	get list(): readonly TTarget[] {
 		return this.members;
@@ -21,18 +21,18 @@
 	}
 
 	set(target: TTarget, isFree: boolean): void {
-		const place = this.places.get(target.id);
-		if (isFree && place === undefined) {
-			this.places.set(target.id, this.members.length);
+		const index = this.indexes.get(target.id);
+		if (isFree && index === undefined) {
+			this.indexes.set(target.id, this.members.length);
 			this.members.push(target);
-		} else if (!isFree && place !== undefined) {
-			this.removeAt(place);
+		} else if (!isFree && index !== undefined) {
+			this.removeAt(index);
 		}
 	}
 
 	clear(): void {
 		this.members.length = 0;
-		this.places.clear();
+		this.indexes.clear();
 	}
 
 	pick(random: IRandom): TTarget | undefined {
@@ -40,16 +40,16 @@
 	}
 
 	/** Puts the last member in the place of the removed one. */
-	private removeAt(place: number): void {
-		const removed = this.members[place];
+	private removeAt(index: number): void {
+		const removed = this.members[index];
 		const last = this.members.pop();
 		if (removed === undefined || last === undefined) {
 			return;
 		}
-		this.places.delete(removed.id);
+		this.indexes.delete(removed.id);
 		if (last !== removed) {
-			this.members[place] = last;
-			this.places.set(last.id, place);
+			this.members[index] = last;
+			this.indexes.set(last.id, index);
 		}
 	}
 }
--- a/src/entry/common/scheduling/targetSpeed.ts
+++ b/src/entry/common/scheduling/outlierDetector.ts
@@ -12,13 +12,13 @@
  */
 
 import type { TargetId } from '../../../core/ids/common/ids';
-import type { SpeedPolicy } from './policy';
+import type { OutlierPolicy } from './policy';
 
-interface SpeedRecord {
+interface TargetSpeed {
 	observations: number;
 	/** Running mean of the logarithm of slowness. */
 	meanLog: number;
-	isAvoided: boolean;
+	isEjected: boolean;
 	nextTrialMs: number;
 	isOnTrial: boolean;
 }
@@ -29,12 +29,12 @@
 }
 
 /** Compares the targets of one service. */
-export class TargetSpeed {
-	private readonly records = new Map<TargetId, SpeedRecord>();
+export class OutlierDetector {
+	private readonly records = new Map<TargetId, TargetSpeed>();
 	private medianLog = 0;
-	private avoidedCount = 0;
+	private ejectedCount = 0;
 
-	constructor(private readonly policy: SpeedPolicy) {}
+	constructor(private readonly policy: OutlierPolicy) {}
 
 	setTargets(targets: readonly TargetId[]): void {
 		const present = new Set(targets);
@@ -48,7 +48,7 @@
 				this.records.set(id, {
 					observations: 0,
 					meanLog: 0,
-					isAvoided: false,
+					isEjected: false,
 					nextTrialMs: 0,
 					isOnTrial: false,
 				});
@@ -57,13 +57,13 @@
 	}
 
 	/** A run on the target took `ranMs` where `expectedMs` was usual for its class. */
-	note(id: TargetId, ranMs: number, expectedMs: number): void {
+	recordRun(id: TargetId, ranMs: number, expectedMs: number): void {
 		const record = this.records.get(id);
 		if (record === undefined || expectedMs <= 0) {
 			return;
 		}
 		const slowness = Math.log(Math.max(ranMs, 1) / expectedMs);
-		const usual = record.isAvoided ? this.policy.trialWeight : this.policy.observationWeight;
+		const usual = record.isEjected ? this.policy.trialWeight : this.policy.observationWeight;
 		record.observations++;
 		const weight = Math.max(usual, 1 / record.observations);
 		record.meanLog += weight * (slowness - record.meanLog);
@@ -72,18 +72,18 @@
 	/** Compares all targets and decides anew which are avoided; called a few times a second. */
 	compare(): void {
 		const compared = [...this.records.values()].filter(
-			record => record.observations >= this.policy.leastObservations,
+			record => record.observations >= this.policy.minObservations,
 		);
 		this.medianLog = computeMedian(compared.map(record => record.meanLog));
 		this.releaseRecovered();
-		this.markSlowest(compared);
-		this.avoidedCount = this.countAvoided();
+		this.markOutliers(compared);
+		this.ejectedCount = this.countEjected();
 	}
 
 	/** Slowness beside the median, 1 where it is tolerated or unknown. */
 	getSlowness(id: TargetId): number {
 		const record = this.records.get(id);
-		if (record === undefined || record.observations < this.policy.leastObservations) {
+		if (record === undefined || record.observations < this.policy.minObservations) {
 			return 1;
 		}
 		const slowness = this.computeSlowness(record);
@@ -91,25 +91,25 @@
 	}
 
 	/** Whether any target is avoided. */
-	hasAvoided(): boolean {
-		return this.avoidedCount > 0;
+	hasEjected(): boolean {
+		return this.ejectedCount > 0;
 	}
 
-	isAvoided(id: TargetId): boolean {
-		return this.records.get(id)?.isAvoided ?? false;
+	isEjected(id: TargetId): boolean {
+		return this.records.get(id)?.isEjected ?? false;
 	}
 
 	/** Whether an avoided target may be sent a trial request now. */
 	isTrialDue(id: TargetId, nowMs: number): boolean {
 		const record = this.records.get(id);
-		return record !== undefined && record.isAvoided && !record.isOnTrial && nowMs >= record.nextTrialMs;
+		return record !== undefined && record.isEjected && !record.isOnTrial && nowMs >= record.nextTrialMs;
 	}
 
 	beginTrial(id: TargetId, nowMs: number): void {
 		const record = this.records.get(id);
 		if (record !== undefined) {
 			record.isOnTrial = true;
-			record.nextTrialMs = nowMs + this.policy.trialPauseMs;
+			record.nextTrialMs = nowMs + this.policy.trialIntervalMs;
 		}
 	}
 
@@ -120,35 +120,35 @@
 		}
 	}
 
-	private computeSlowness(record: SpeedRecord): number {
+	private computeSlowness(record: TargetSpeed): number {
 		return Math.exp(record.meanLog - this.medianLog);
 	}
 
-	private countAvoided(): number {
-		return [...this.records.values()].filter(record => record.isAvoided).length;
+	private countEjected(): number {
+		return [...this.records.values()].filter(record => record.isEjected).length;
 	}
 
 	private releaseRecovered(): void {
 		for (const record of this.records.values()) {
-			if (record.isAvoided && this.computeSlowness(record) <= this.policy.returnedSlowness) {
-				record.isAvoided = false;
+			if (record.isEjected && this.computeSlowness(record) <= this.policy.recoverySlowness) {
+				record.isEjected = false;
 			}
 		}
 	}
 
 	/** Avoids the slowest, up to a share of all targets: what is left could not carry the load otherwise. */
-	private markSlowest(compared: readonly SpeedRecord[]): void {
-		const most = Math.floor(this.records.size * this.policy.mostAvoidedShare);
-		let avoided = this.countAvoided();
+	private markOutliers(compared: readonly TargetSpeed[]): void {
+		const maxEjected = Math.floor(this.records.size * this.policy.maxEjectedShare);
+		let ejected = this.countEjected();
 		const slow = compared
-			.filter(record => !record.isAvoided && this.computeSlowness(record) >= this.policy.avoidedSlowness)
+			.filter(record => !record.isEjected && this.computeSlowness(record) >= this.policy.ejectionSlowness)
 			.sort((left, right) => right.meanLog - left.meanLog);
 		for (const record of slow) {
-			if (avoided >= most) {
+			if (ejected >= maxEjected) {
 				return;
 			}
-			record.isAvoided = true;
-			avoided++;
+			record.isEjected = true;
+			ejected++;
 		}
 	}
 }
--- a/src/entry/common/scheduling/prefixRanking.ts
+++ b/src/entry/common/scheduling/prefixRanking.ts
@@ -7,14 +7,14 @@
 
 import type { TargetId } from '../../../core/ids/common/ids';
 
-const hashStart = 0x811c9dc5;
-const hashFactor = 0x01000193;
+const fnvOffsetBasis = 0x811c9dc5;
+const fnvPrime = 0x01000193;
 
 /** FNV-1a over the UTF-16 units of a text, as an unsigned 32-bit number. */
 export function computeTextHash(text: string): number {
-	let hash = hashStart;
+	let hash = fnvOffsetBasis;
 	for (let index = 0; index < text.length; index++) {
-		hash = Math.imul(hash ^ text.charCodeAt(index), hashFactor);
+		hash = Math.imul(hash ^ text.charCodeAt(index), fnvPrime);
 	}
 	return hash >>> 0;
 }
@@ -37,24 +37,24 @@
 export function findBestRanked<TTarget extends RankedTarget>(
 	targets: readonly TTarget[],
 	prefixKey: string,
-	most: number,
+	maxTargets: number,
 ): TTarget[] {
 	const keyHash = computeTextHash(prefixKey);
 	const best: TTarget[] = [];
 	const scores: number[] = [];
 	for (const target of targets) {
 		const score = computeMixedHash(keyHash, target.idHash);
-		if (best.length === most && score <= (scores[most - 1] ?? 0)) {
+		if (best.length === maxTargets && score <= (scores[maxTargets - 1] ?? 0)) {
 			continue;
 		}
-		let place = best.length;
-		while (place > 0 && (scores[place - 1] ?? 0) < score) {
-			place--;
+		let index = best.length;
+		while (index > 0 && (scores[index - 1] ?? 0) < score) {
+			index--;
 		}
-		best.splice(place, 0, target);
-		scores.splice(place, 0, score);
-		best.length = Math.min(best.length, most);
-		scores.length = Math.min(scores.length, most);
+		best.splice(index, 0, target);
+		scores.splice(index, 0, score);
+		best.length = Math.min(best.length, maxTargets);
+		scores.length = Math.min(scores.length, maxTargets);
 	}
 	return best;
 }
--- a/src/entry/common/scheduling/refusals.ts
+++ b/src/entry/common/scheduling/refusalBuilder.ts
@@ -6,31 +6,31 @@
 import { createRequestError, ErrorKind } from '../../../core/errors/common/errorKinds';
 import type { HeldRequest } from './attempt';
 import type { ClassLanes } from './classLanes';
-import type { ComeBackPlan } from './comeBackPlan';
+import type { RetryAfterPlanner } from './retryAfterPlanner';
 import type { RefuseDecision, SchedulableRequest } from './serviceScheduler';
 import { ScheduleDecisionKind } from './serviceScheduler';
 import type { WaitPredictor } from './waitPredictor';
 import type { WorkEstimator } from './workEstimator';
 
 /** Refuses for one service. */
-export class Refusals {
+export class RefusalBuilder {
 	constructor(
 		private readonly lanes: ClassLanes,
 		private readonly estimator: WorkEstimator,
 		private readonly predictor: WaitPredictor,
-		private readonly plan: ComeBackPlan,
+		private readonly retryAfterPlanner: RetryAfterPlanner,
 	) {}
 
 	/** Refuses a request that no attempt was made for. */
-	createUnrun(request: SchedulableRequest, kind: ErrorKind, detail: string, nowMs: number): RefuseDecision {
-		const retryAfterMs = this.planReturn(request, nowMs);
+	createNotRun(request: SchedulableRequest, kind: ErrorKind, detail: string, nowMs: number): RefuseDecision {
+		const retryAfterMs = this.planRetryAfter(request, nowMs);
 		return createDecision(request, createRequestError(kind, detail, { retryAfterMs }));
 	}
 
 	/** Refuses a request whose attempts failed; it is told as unrun only if none of them can have run. */
-	createAfterAttempts(held: HeldRequest, detail: string, nowMs: number): RefuseDecision {
+	createAfterFailedAttempts(held: HeldRequest, detail: string, nowMs: number): RefuseDecision {
 		const { request, mayHaveRun } = held;
-		const retryAfterMs = this.planReturn(request, nowMs);
+		const retryAfterMs = this.planRetryAfter(request, nowMs);
 		const kind = held.fault ?? (mayHaveRun ? ErrorKind.TargetFailed : ErrorKind.DeadlineUnreachable);
 		return createDecision(
 			request,
@@ -38,15 +38,15 @@
 		);
 	}
 
-	private planReturn(request: SchedulableRequest, nowMs: number): number {
+	private planRetryAfter(request: SchedulableRequest, nowMs: number): number {
 		const { organisation, requestClass, organisationWeight: weight = 1 } = request;
 		const lane = this.lanes.getLane(requestClass);
-		const patienceMs = Math.max(0, request.deadlineMs - nowMs);
-		const slots = this.predictor.countSlots(lane, patienceMs);
-		return this.plan.plan(
+		const timeLeftMs = Math.max(0, request.deadlineMs - nowMs);
+		const slots = this.predictor.countUsableSlots(lane, timeLeftMs);
+		return this.retryAfterPlanner.planDelay(
 			{
 				organisation,
-				waitMs: this.predictor.estimateWait(lane, organisation, weight, patienceMs),
+				waitMs: this.predictor.estimateWait(lane, organisation, weight, timeLeftMs),
 				workMs: this.estimator.estimate(organisation, requestClass),
 				weight,
 				slots,
--- a/src/entry/common/scheduling/comeBackPlan.ts
+++ b/src/entry/common/scheduling/retryAfterPlanner.ts
@@ -10,20 +10,20 @@
 
 import type { IRandom } from '../../../base/common/random';
 import type { OrganisationName } from '../../../core/ids/common/ids';
-import type { ComeBackPolicy } from './policy';
+import type { RetryAfterPolicy } from './policy';
 
 /** Time between two counts of the organisations whose callers are to return, in milliseconds. */
-const recountMs = 100;
+const purgeIntervalMs = 100;
 
 /** The callers of one organisation that are to return. */
-interface ReturnLine {
+interface RetrySchedule {
 	readonly weight: number;
 	/** Up to when they fill the organisation's part, in monotonic milliseconds. */
-	filledUntilMs: number;
+	bookedUntilMs: number;
 }
 
 /** What a refusal is planned by. */
-export interface ComeBackQuestion {
+export interface RefusedRequest {
 	readonly organisation: OrganisationName;
 	/** Predicted wait of such a request now, in milliseconds. */
 	readonly waitMs: number;
@@ -35,56 +35,56 @@
 }
 
 /** Plans the return of one service's refused callers. */
-export class ComeBackPlan {
-	private readonly lines = new Map<OrganisationName, ReturnLine>();
-	private returningWeight = 0;
-	private countedMs = Number.NEGATIVE_INFINITY;
+export class RetryAfterPlanner {
+	private readonly schedules = new Map<OrganisationName, RetrySchedule>();
+	private scheduledWeight = 0;
+	private purgedAtMs = Number.NEGATIVE_INFINITY;
 
 	constructor(
-		private readonly policy: ComeBackPolicy,
+		private readonly policy: RetryAfterPolicy,
 		private readonly random: IRandom,
 	) {}
 
 	/** Milliseconds from now. */
-	plan(question: ComeBackQuestion, nowMs: number): number {
-		const { leastMs, mostMs, capacityShare } = this.policy;
-		const earliestMs = nowMs + Math.max(leastMs, question.waitMs);
-		const line = this.getLine(question, nowMs);
-		const fairShare = question.weight / Math.max(question.weight, this.returningWeight);
-		const takesMs = question.workMs / (question.slots * capacityShare * fairShare);
-		const placeMs = Math.max(earliestMs, line.filledUntilMs);
-		line.filledUntilMs = Math.min(nowMs + mostMs, placeMs + takesMs);
-		return this.addJitter(Math.min(mostMs, placeMs - nowMs));
+	planDelay(refused: RefusedRequest, nowMs: number): number {
+		const { minMs: leastMs, maxMs: mostMs, capacityShare } = this.policy;
+		const earliestMs = nowMs + Math.max(leastMs, refused.waitMs);
+		const schedule = this.getSchedule(refused, nowMs);
+		const fairShare = refused.weight / Math.max(refused.weight, this.scheduledWeight);
+		const bookingMs = refused.workMs / (refused.slots * capacityShare * fairShare);
+		const retryAtMs = Math.max(earliestMs, schedule.bookedUntilMs);
+		schedule.bookedUntilMs = Math.min(nowMs + mostMs, retryAtMs + bookingMs);
+		return this.addJitter(Math.min(mostMs, retryAtMs - nowMs));
 	}
 
-	private getLine({ organisation, weight }: ComeBackQuestion, nowMs: number): ReturnLine {
-		let line = this.lines.get(organisation);
-		if (line === undefined || line.filledUntilMs <= nowMs) {
-			line = { weight, filledUntilMs: nowMs };
-			this.lines.set(organisation, line);
-			this.returningWeight += weight;
+	private getSchedule({ organisation, weight }: RefusedRequest, nowMs: number): RetrySchedule {
+		let schedule = this.schedules.get(organisation);
+		if (schedule === undefined || schedule.bookedUntilMs <= nowMs) {
+			schedule = { weight, bookedUntilMs: nowMs };
+			this.schedules.set(organisation, schedule);
+			this.scheduledWeight += weight;
 		}
-		if (nowMs - this.countedMs >= recountMs) {
-			this.clearEmptyLines(nowMs);
+		if (nowMs - this.purgedAtMs >= purgeIntervalMs) {
+			this.removeEndedSchedules(nowMs);
 		}
-		return line;
+		return schedule;
 	}
 
-	private clearEmptyLines(nowMs: number): void {
-		this.countedMs = nowMs;
-		this.returningWeight = 0;
-		for (const [organisation, line] of this.lines) {
-			if (line.filledUntilMs < nowMs) {
-				this.lines.delete(organisation);
+	private removeEndedSchedules(nowMs: number): void {
+		this.purgedAtMs = nowMs;
+		this.scheduledWeight = 0;
+		for (const [organisation, schedule] of this.schedules) {
+			if (schedule.bookedUntilMs < nowMs) {
+				this.schedules.delete(organisation);
 			} else {
-				this.returningWeight += line.weight;
+				this.scheduledWeight += schedule.weight;
 			}
 		}
 	}
 
 	/** Adds to a short time and takes from the longest one, so that the bound holds and still spreads. */
 	private addJitter(delayMs: number): number {
-		const { mostMs, jitterShare } = this.policy;
+		const { maxMs: mostMs, jitterShare } = this.policy;
 		const spreadMs = delayMs * jitterShare;
 		const startMs = Math.min(delayMs, mostMs - spreadMs);
 		return Math.round(startMs + this.random.pickFraction() * spreadMs);
--- a/src/entry/common/scheduling/retryBudget.ts
+++ b/src/entry/common/scheduling/retryBudget.ts
@@ -10,23 +10,26 @@
 
 /** Counts what retries may still cost, for one service. */
 export class RetryBudget {
-	private saved: number;
+	private savedRetries: number;
 
 	constructor(private readonly policy: RetryPolicy) {
-		this.saved = policy.budgetMost;
+		this.savedRetries = policy.maxSavedRetries;
 	}
 
 	/** A first attempt succeeded. Successes of retries earn nothing, or retries would pay for retries. */
-	noteFreshSuccess(): void {
-		this.saved = Math.min(this.policy.budgetMost, this.saved + this.policy.budgetShare);
+	recordFirstAttemptSuccess(): void {
+		this.savedRetries = Math.min(
+			this.policy.maxSavedRetries,
+			this.savedRetries + this.policy.retriesPerSuccess,
+		);
 	}
 
 	/** Pays for one retry, or says that there is nothing left to pay with. */
-	take(): boolean {
-		if (this.saved < 1) {
+	takeRetry(): boolean {
+		if (this.savedRetries < 1) {
 			return false;
 		}
-		this.saved -= 1;
+		this.savedRetries -= 1;
 		return true;
 	}
 }
--- a/src/entry/common/scheduling/retryQueue.ts
+++ b/src/entry/common/scheduling/retryQueue.ts
@@ -11,7 +11,7 @@
 
 import type { Admission } from './admission';
 import type { HeldRequest, RunningAttempt } from './attempt';
-import { isUnrun } from './attempt';
+import { isNotRun } from './attempt';
 import type { ClassLanes } from './classLanes';
 import type { RetryPolicy } from './policy';
 import type { RetryBudget } from './retryBudget';
@@ -50,7 +50,7 @@
 
 	/** Takes a request in whose attempt failed, where the rules and the budget allow another one. */
 	accept(held: HeldRequest, attempt: RunningAttempt, end: AttemptEnd, nowMs: number): boolean {
-		if (!this.isAllowed(held, attempt, end) || !this.isPossible(held, nowMs) || !this.budget.take()) {
+		if (!this.isAllowed(held, attempt, end) || !this.isPossible(held, nowMs) || !this.budget.takeRetry()) {
 			return false;
 		}
 		this.waiting.add(held);
@@ -58,7 +58,7 @@
 	}
 
 	/** Whether there is the time and a target for another attempt. */
-	isPossible({ request, tried }: HeldRequest, nowMs: number): boolean {
+	isPossible({ request, triedTargets: tried }: HeldRequest, nowMs: number): boolean {
 		const lane = this.lanes.getLane(request.requestClass);
 		return (
 			this.admission.isStartable(lane, request, nowMs) &&
@@ -66,12 +66,16 @@
 		);
 	}
 
-	private isAllowed({ request, tried }: HeldRequest, attempt: RunningAttempt, end: AttemptEnd): boolean {
+	private isAllowed(
+		{ request, triedTargets: tried }: HeldRequest,
+		attempt: RunningAttempt,
+		end: AttemptEnd,
+	): boolean {
 		const isOver = end === AttemptEnd.Answered || end === AttemptEnd.Cancelled || attempt.hasFirstByte;
-		if (isOver || tried.length >= this.policy.mostAttempts) {
+		if (isOver || tried.length >= this.policy.maxAttempts) {
 			return false;
 		}
-		return isUnrun(end) || request.isRepeatable;
+		return isNotRun(end) || request.isRepeatable;
 	}
 }
 
--- a/src/entry/common/scheduling/scheduler.ts
+++ b/src/entry/common/scheduling/scheduler.ts
@@ -9,15 +9,15 @@
 import { RequestClass } from '../../../core/requests/common/requestClass';
 import { Admission } from './admission';
 import type { HeldRequest, RunningAttempt } from './attempt';
-import { noteFailure } from './attempt';
+import { recordFailure } from './attempt';
 import { AttemptObserver } from './attemptObserver';
 import type { ClassLane } from './classLanes';
 import { ClassLanes } from './classLanes';
-import { ComeBackPlan } from './comeBackPlan';
+import { RetryAfterPlanner } from './retryAfterPlanner';
 import type { QueuedRequest } from './fairQueue';
 import type { SchedulingPolicy } from './policy';
 import { defaultSchedulingPolicy } from './policy';
-import { Refusals } from './refusals';
+import { RefusalBuilder } from './refusalBuilder';
 import { RetryBudget } from './retryBudget';
 import { RetryQueue } from './retryQueue';
 import type {
@@ -30,14 +30,14 @@
 	TargetRoom,
 } from './serviceScheduler';
 import { AttemptEnd, ScheduleDecisionKind } from './serviceScheduler';
-import type { TargetChoice } from './targetChoice';
-import { TargetChooser } from './targetChoice';
+import type { TargetChoice } from './targetChooser';
+import { TargetChooser } from './targetChooser';
 import { TargetPool } from './targetPool';
 import { WaitPredictor } from './waitPredictor';
 import { WorkEstimator } from './workEstimator';
 
 /** A normal request's wait is told to other regions as if it had this long, in milliseconds. */
-const roomPatienceMs = 10_000;
+const assumedTimeLeftMs = 10_000;
 
 /** Decides for one service. */
 export class ServiceScheduler implements IServiceScheduler {
@@ -49,11 +49,11 @@
 	private readonly chooser: TargetChooser;
 	private readonly retries: RetryQueue;
 	private readonly observer: AttemptObserver;
-	private readonly refusals: Refusals;
+	private readonly refusalBuilder: RefusalBuilder;
 	private readonly held = new Map<RequestId, HeldRequest>();
-	private decided: ScheduleDecision[] = [];
-	private checkedMs: number | undefined;
-	private comparedMs = Number.NEGATIVE_INFINITY;
+	private pendingDecisions: ScheduleDecision[] = [];
+	private queueCheckedMs: number | undefined;
+	private targetsCheckedMs = Number.NEGATIVE_INFINITY;
 
 	constructor(
 		random: IRandom,
@@ -67,20 +67,26 @@
 		this.chooser = new TargetChooser(this.pool, policy.choice, random);
 		const budget = new RetryBudget(policy.retry);
 		this.retries = new RetryQueue(policy.retry, this.lanes, this.pool, this.admission, budget);
-		this.observer = new AttemptObserver(policy.speed, this.lanes, this.pool, this.estimator, budget);
-		const plan = new ComeBackPlan(policy.comeBack, random);
-		this.refusals = new Refusals(this.lanes, this.estimator, this.predictor, plan);
+		this.observer = new AttemptObserver(
+			policy.outlierDetection,
+			this.lanes,
+			this.pool,
+			this.estimator,
+			budget,
+		);
+		const plan = new RetryAfterPlanner(policy.retryAfter, random);
+		this.refusalBuilder = new RefusalBuilder(this.lanes, this.estimator, this.predictor, plan);
 	}
 
 	setTargets(targets: readonly SchedulableTarget[], nowMs: number): void {
 		this.pool.setTargets(targets, nowMs);
-		this.checkWaiting(nowMs);
+		this.refuseUnservable(nowMs);
 	}
 
 	submit(request: SchedulableRequest, nowMs: number): void {
-		const fault = this.admission.findFault(request, nowMs);
+		const fault = this.admission.findRefusal(request, nowMs);
 		if (fault !== undefined) {
-			this.decided.push(this.refusals.createUnrun(request, fault.kind, fault.detail, nowMs));
+			this.pendingDecisions.push(this.refusalBuilder.createNotRun(request, fault.kind, fault.detail, nowMs));
 			return;
 		}
 		const workMs = this.estimator.estimate(request.organisation, request.requestClass);
@@ -89,7 +95,7 @@
 			request,
 			queued,
 			running: undefined,
-			tried: [],
+			triedTargets: [],
 			mayHaveRun: false,
 			fault: undefined,
 		});
@@ -97,19 +103,21 @@
 	}
 
 	advance(nowMs: number): readonly ScheduleDecision[] {
-		if (nowMs - (this.checkedMs ?? nowMs) >= this.policy.admission.recheckMs) {
-			this.checkAll(nowMs);
+		if (nowMs - (this.queueCheckedMs ?? nowMs) >= this.policy.admission.recheckIntervalMs) {
+			this.runPeriodicChecks(nowMs);
 		}
-		this.checkedMs ??= nowMs;
+		this.queueCheckedMs ??= nowMs;
 		this.startRetries(nowMs);
-		this.startWaiting(nowMs);
-		const decided = this.decided;
-		this.decided = [];
+		this.startQueued(nowMs);
+		const decided = this.pendingDecisions;
+		this.pendingDecisions = [];
 		return decided;
 	}
 
 	getNextDueMs(): number | undefined {
-		return this.held.size > 0 ? (this.checkedMs ?? 0) + this.policy.admission.recheckMs : undefined;
+		return this.held.size > 0
+			? (this.queueCheckedMs ?? 0) + this.policy.admission.recheckIntervalMs
+			: undefined;
 	}
 
 	noteFirstByte(requestId: RequestId, nowMs: number): void {
@@ -127,15 +135,15 @@
 		}
 		held.running = undefined;
 		this.observer.noteEnd(held, attempt, end, nowMs);
-		noteFailure(held, attempt.target.id, end);
+		recordFailure(held, attempt.target.id, end);
 		if (end !== AttemptEnd.Answered && this.pool.isDown(nowMs)) {
-			this.checkWaiting(nowMs);
+			this.refuseUnservable(nowMs);
 		}
-		const isTakenBack = this.retries.accept(held, attempt, end, nowMs);
-		if (!isTakenBack) {
+		const isRequeued = this.retries.accept(held, attempt, end, nowMs);
+		if (!isRequeued) {
 			this.held.delete(requestId);
 		}
-		return isTakenBack;
+		return isRequeued;
 	}
 
 	/** A target's own failure is an answer, and is passed on. */
@@ -176,7 +184,7 @@
 
 	private estimateNormalWait(): number {
 		const lane = this.lanes.getLane(RequestClass.Normal);
-		return this.predictor.estimateAfter(lane, lane.queue.queuedWorkMs, roomPatienceMs);
+		return this.predictor.estimateWaitAfter(lane, lane.queue.queuedWorkMs, assumedTimeLeftMs);
 	}
 
 	private startRetries(nowMs: number): void {
@@ -184,7 +192,9 @@
 			if (!this.retries.isPossible(held, nowMs)) {
 				this.retries.remove(held);
 				this.held.delete(held.request.id);
-				this.decided.push(this.refusals.createAfterAttempts(held, 'no time or target for another', nowMs));
+				this.pendingDecisions.push(
+					this.refusalBuilder.createAfterFailedAttempts(held, 'no time or target for another', nowMs),
+				);
 				continue;
 			}
 			const choice = this.chooseFor(held, nowMs);
@@ -196,7 +206,7 @@
 		}
 	}
 
-	private startWaiting(nowMs: number): void {
+	private startQueued(nowMs: number): void {
 		for (;;) {
 			const lane = this.lanes.pickLane(candidate => this.isServable(candidate, nowMs));
 			const held = lane === undefined ? undefined : this.takeFrom(lane);
@@ -204,29 +214,29 @@
 				return;
 			}
 			if (!this.admission.isStartable(lane, held.request, nowMs)) {
-				this.refuseWaiting(held, nowMs);
+				this.refuseTaken(held, nowMs);
 				continue;
 			}
 			const choice = this.chooseFor(held, nowMs);
 			if (choice === undefined) {
-				this.waitApartOrRefuse(held, nowMs);
+				this.waitForIsolationOrRefuse(held, nowMs);
 				continue;
 			}
-			this.lanes.noteServed(lane, this.start(held, choice, nowMs).expectedMs);
+			this.lanes.recordServed(lane, this.start(held, choice, nowMs).expectedMs);
 		}
 	}
 
 	/** At the head of its queue, a request that is kept apart would hold up all behind it; so it steps aside. */
-	private waitApartOrRefuse(held: HeldRequest, nowMs: number): void {
+	private waitForIsolationOrRefuse(held: HeldRequest, nowMs: number): void {
 		if (held.request.isKeptApart?.() === true) {
 			this.retries.add(held);
 			return;
 		}
-		this.refuseWaiting(held, nowMs);
+		this.refuseTaken(held, nowMs);
 	}
 
 	private isServable(lane: ClassLane, nowMs: number): boolean {
-		const openSlots = this.lanes.computeOpenSlots(lane, this.pool.totalSlots, this.pool.meanShare);
+		const openSlots = this.lanes.computeSlotLimit(lane, this.pool.totalSlots, this.pool.meanShare);
 		return lane.running < openSlots && this.pool.hasFree(lane.requestClass, nowMs);
 	}
 
@@ -240,9 +250,9 @@
 	}
 
 	private chooseFor(held: HeldRequest, nowMs: number): TargetChoice | undefined {
-		const { request, tried } = held;
+		const { request, triedTargets: tried } = held;
 		const expectedMs = this.estimator.estimate(request.organisation, request.requestClass);
-		return this.chooser.choose({ request, expectedMs, tried }, nowMs);
+		return this.chooser.choose({ request, expectedMs, triedTargets: tried }, nowMs);
 	}
 
 	private start(held: HeldRequest, choice: TargetChoice, nowMs: number): RunningAttempt {
@@ -252,13 +262,13 @@
 			startedMs: nowMs,
 			expectedMs: this.estimator.estimate(request.organisation, request.requestClass),
 			isTrial: choice.isTrial,
-			isApart: request.isKeptApart?.() === true,
+			isCrashSuspect: request.isKeptApart?.() === true,
 			hasFirstByte: false,
 			isOverdue: false,
 		};
 		held.running = attempt;
 		this.observer.noteStart(held, attempt, nowMs);
-		this.decided.push({
+		this.pendingDecisions.push({
 			kind: ScheduleDecisionKind.Start,
 			requestId: request.id,
 			target: choice.target.id,
@@ -267,21 +277,21 @@
 		return attempt;
 	}
 
-	private checkAll(nowMs: number): void {
-		const elapsedMs = nowMs - (this.checkedMs ?? nowMs);
-		this.checkedMs = nowMs;
+	private runPeriodicChecks(nowMs: number): void {
+		const elapsedMs = nowMs - (this.queueCheckedMs ?? nowMs);
+		this.queueCheckedMs = nowMs;
 		this.lanes.updateMeans(elapsedMs);
 		if (this.lanes.size > 0) {
-			this.checkWaiting(nowMs);
+			this.refuseUnservable(nowMs);
 		}
-		if (nowMs - this.comparedMs >= this.policy.speed.compareMs) {
+		if (nowMs - this.targetsCheckedMs >= this.policy.outlierDetection.compareIntervalMs) {
 			this.checkTargets(nowMs);
 		}
 	}
 
 	private checkTargets(nowMs: number): void {
-		const elapsedMs = nowMs - Math.max(0, this.comparedMs);
-		this.comparedMs = nowMs;
+		const elapsedMs = nowMs - Math.max(0, this.targetsCheckedMs);
+		this.targetsCheckedMs = nowMs;
 		for (const held of this.held.values()) {
 			if (held.running !== undefined) {
 				this.observer.noteOverdue(held.running, nowMs);
@@ -291,29 +301,31 @@
 	}
 
 	/** Refuses what waits and can no longer be answered in time. */
-	private checkWaiting(nowMs: number): void {
-		const isStopped = this.pool.isDown(nowMs);
+	private refuseUnservable(nowMs: number): void {
+		const isDown = this.pool.isDown(nowMs);
 		for (const lane of this.lanes.lanes) {
 			lane.queue.removeWhere((item, aheadMs) => {
-				const isOut = isStopped || !this.admission.isReachable(lane, item.request, aheadMs, nowMs);
-				if (isOut) {
-					this.refuseRemoved(item, isStopped, nowMs);
+				const isRefused = isDown || !this.admission.isDeadlineReachable(lane, item.request, aheadMs, nowMs);
+				if (isRefused) {
+					this.refuseRemoved(item, isDown, nowMs);
 				}
-				return isOut;
+				return isRefused;
 			});
 		}
 	}
 
-	private refuseRemoved(item: QueuedRequest, isStopped: boolean, nowMs: number): void {
+	private refuseRemoved(item: QueuedRequest, isDown: boolean, nowMs: number): void {
 		this.held.delete(item.request.id);
-		const kind = isStopped ? ErrorKind.NoTarget : ErrorKind.DeadlineUnreachable;
-		const detail = isStopped ? 'no target can be reached' : 'its turn would come too late';
-		this.decided.push(this.refusals.createUnrun(item.request, kind, detail, nowMs));
+		const kind = isDown ? ErrorKind.NoTarget : ErrorKind.DeadlineUnreachable;
+		const detail = isDown ? 'no target can be reached' : 'its turn would come too late';
+		this.pendingDecisions.push(this.refusalBuilder.createNotRun(item.request, kind, detail, nowMs));
 	}
 
-	private refuseWaiting(held: HeldRequest, nowMs: number): void {
+	private refuseTaken(held: HeldRequest, nowMs: number): void {
 		this.held.delete(held.request.id);
 		const detail = 'the time left is shorter than its run';
-		this.decided.push(this.refusals.createUnrun(held.request, ErrorKind.DeadlineUnreachable, detail, nowMs));
+		this.pendingDecisions.push(
+			this.refusalBuilder.createNotRun(held.request, ErrorKind.DeadlineUnreachable, detail, nowMs),
+		);
 	}
 }
--- a/src/entry/common/scheduling/serviceScheduler.ts
+++ b/src/entry/common/scheduling/serviceScheduler.ts
@@ -41,7 +41,7 @@
 	readonly urgency: number;
 	readonly prompt: PromptShape | undefined;
 	/** Targets that it may be sent to. */
-	readonly mostAttempts: number;
+	readonly maxAttempts: number;
 	/** Whether a stream that broke may go on at another target. */
 	readonly isResumable: boolean;
 }
--- a/src/entry/common/scheduling/targetChoice.ts
+++ b/src/entry/common/scheduling/targetChooser.ts
@@ -17,12 +17,12 @@
 import type { PooledTarget, TargetPool } from './targetPool';
 
 /** What is asked of the choice. */
-export interface ChoiceQuestion {
+export interface ChoiceContext {
 	readonly request: SchedulableRequest;
 	/** Expected run, in milliseconds. */
 	readonly expectedMs: number;
 	/** Targets that attempts of the request were made at. */
-	readonly tried: readonly TargetId[];
+	readonly triedTargets: readonly TargetId[];
 }
 
 /** The target and why. */
@@ -37,7 +37,7 @@
 export const trialReason = 'trial of a slow target';
 
 /** Random draws before the free targets are walked: one may have been tried, or be free no more. */
-const mostDraws = 6;
+const maxDraws = 6;
 
 /** Chooses for one service at one entry. */
 export class TargetChooser {
@@ -48,44 +48,48 @@
 	) {}
 
 	/** The target to use now, or undefined where none is free for the request. */
-	choose(question: ChoiceQuestion, nowMs: number): TargetChoice | undefined {
+	choose(context: ChoiceContext, nowMs: number): TargetChoice | undefined {
 		return (
-			this.chooseTrial(question, nowMs) ??
-			this.chooseByPrefix(question, nowMs) ??
-			this.chooseByLoad(question, nowMs)
+			this.chooseTrial(context, nowMs) ??
+			this.chooseByPrefix(context, nowMs) ??
+			this.chooseByLoad(context, nowMs)
 		);
 	}
 
-	private isUsable(target: PooledTarget, { request, tried }: ChoiceQuestion, nowMs: number): boolean {
-		if (target.use.runningApart > 0 && request.isKeptApart?.() === true) {
+	private isUsable(
+		target: PooledTarget,
+		{ request, triedTargets: tried }: ChoiceContext,
+		nowMs: number,
+	): boolean {
+		if (target.use.runningCrashSuspects > 0 && request.isKeptApart?.() === true) {
 			return false;
 		}
 		return !tried.includes(target.id) && this.pool.isFree(target, request.requestClass, nowMs);
 	}
 
 	/** Sends one request to an avoided target if it has the time to be late. */
-	private chooseTrial(question: ChoiceQuestion, nowMs: number): TargetChoice | undefined {
-		const { speed } = this.pool;
-		if (!speed.hasAvoided()) {
+	private chooseTrial(context: ChoiceContext, nowMs: number): TargetChoice | undefined {
+		const { outlierDetector: speed } = this.pool;
+		if (!speed.hasEjected()) {
 			return undefined;
 		}
 		for (const target of this.pool.targets) {
-			const lateMs = nowMs + question.expectedMs * speed.getSlowness(target.id);
-			const isPossible = !target.use.isPaused(nowMs) && !question.tried.includes(target.id);
-			if (isPossible && lateMs < question.request.deadlineMs && speed.isTrialDue(target.id, nowMs)) {
+			const lateMs = nowMs + context.expectedMs * speed.getSlowness(target.id);
+			const isPossible = !target.use.isPaused(nowMs) && !context.triedTargets.includes(target.id);
+			if (isPossible && lateMs < context.request.deadlineMs && speed.isTrialDue(target.id, nowMs)) {
 				return { target, reason: trialReason, isTrial: true };
 			}
 		}
 		return undefined;
 	}
 
-	private chooseByPrefix(question: ChoiceQuestion, nowMs: number): TargetChoice | undefined {
-		const { prefixKey } = question.request;
+	private chooseByPrefix(context: ChoiceContext, nowMs: number): TargetChoice | undefined {
+		const { prefixKey } = context.request;
 		if (prefixKey === undefined) {
 			return undefined;
 		}
 		for (const [place, target] of this.pool.findRanked(prefixKey).entries()) {
-			if (this.isWithinBound(target, question, nowMs) && this.isUsable(target, question, nowMs)) {
+			if (this.isWithinLoadBound(target, context, nowMs) && this.isUsable(target, context, nowMs)) {
 				return { target, reason: `place ${place + 1} for its prefix`, isTrial: false };
 			}
 		}
@@ -93,18 +97,18 @@
 	}
 
 	/** Whether the work sent to a target of late is within a multiple of its part of all work sent. */
-	private isWithinBound({ use }: PooledTarget, { expectedMs }: ChoiceQuestion, nowMs: number): boolean {
-		const { boundedLoad, freeRequests } = this.policy;
-		const part = this.pool.recentWork.getValue(nowMs) * this.pool.computePart(use);
+	private isWithinLoadBound({ use }: PooledTarget, { expectedMs }: ChoiceContext, nowMs: number): boolean {
+		const { maxLoadFactor: boundedLoad, loadAllowanceRequests: freeRequests } = this.policy;
+		const part = this.pool.recentWork.getValue(nowMs) * this.pool.computeSlotShare(use);
 		return use.recentWork.getValue(nowMs) <= boundedLoad * part + freeRequests * expectedMs;
 	}
 
-	private chooseByLoad(question: ChoiceQuestion, nowMs: number): TargetChoice | undefined {
-		const first = this.pickUsable(question, nowMs, undefined);
+	private chooseByLoad(context: ChoiceContext, nowMs: number): TargetChoice | undefined {
+		const first = this.pickUsable(context, nowMs, undefined);
 		if (first === undefined) {
 			return undefined;
 		}
-		const second = this.pickUsable(question, nowMs, first);
+		const second = this.pickUsable(context, nowMs, first);
 		if (second === undefined) {
 			return { target: first, reason: 'the only free one', isTrial: false };
 		}
@@ -114,25 +118,25 @@
 
 	/** A free target other than `except`: drawn while draws are cheap, else from a list of them. */
 	private pickUsable(
-		question: ChoiceQuestion,
+		context: ChoiceContext,
 		nowMs: number,
 		except: PooledTarget | undefined,
 	): PooledTarget | undefined {
-		const free = this.pool.getFree(question.request.requestClass);
-		for (let draw = 0; draw < mostDraws; draw++) {
+		const free = this.pool.getFree(context.request.requestClass);
+		for (let draw = 0; draw < maxDraws; draw++) {
 			const target = free.pick(this.random);
-			if (target !== undefined && target !== except && this.isUsable(target, question, nowMs)) {
+			if (target !== undefined && target !== except && this.isUsable(target, context, nowMs)) {
 				return target;
 			}
 		}
-		const usable = free.list.filter(target => target !== except && this.isUsable(target, question, nowMs));
+		const usable = free.list.filter(target => target !== except && this.isUsable(target, context, nowMs));
 		return usable[this.random.pickBelow(usable.length)];
 	}
 
 	/** Load as a part of the target, weighed by its slowness, and the costs of its place. */
 	private computeCost({ id, use }: PooledTarget, nowMs: number): number {
-		const load = (use.running + 1 + this.pool.estimateOthers(use, nowMs)) / use.target.slots;
-		const zoneCost = use.target.isSameZone ? 0 : this.policy.otherZoneCost;
-		return load * this.pool.speed.getSlowness(id) + zoneCost;
+		const load = (use.running + 1 + this.pool.estimateOtherRequests(use, nowMs)) / use.target.slots;
+		const zoneCost = use.target.isSameZone ? 0 : this.policy.crossZoneCost;
+		return load * this.pool.outlierDetector.getSlowness(id) + zoneCost;
 	}
 }
--- a/src/entry/common/scheduling/targetPool.ts
+++ b/src/entry/common/scheduling/targetPool.ts
@@ -12,17 +12,17 @@
 import type { TargetId } from '../../../core/ids/common/ids';
 import type { RequestClass } from '../../../core/requests/common/requestClass';
 import { requestClasses } from '../../../core/requests/common/requestClass';
-import { FadingSum } from './fadingSum';
+import { DecayingSum } from './decayingSum';
 import { FreeTargets } from './freeTargets';
 import type { SchedulingPolicy } from './policy';
 import type { RankedTarget } from './prefixRanking';
 import { computeTextHash, findBestRanked } from './prefixRanking';
 import type { ReportedLoad, SchedulableTarget } from './serviceScheduler';
-import { TargetSpeed } from './targetSpeed';
+import { OutlierDetector } from './outlierDetector';
 import { TargetUse } from './targetUse';
 
 /** Prefixes whose ranking is remembered; a ranking takes some hundred bytes. */
-const mostRankings = 4_096;
+const maxRankings = 4_096;
 
 /** A target with what the choice needs of it. */
 export interface PooledTarget extends RankedTarget {
@@ -31,23 +31,23 @@
 
 /** Holds the targets of one service at one entry. */
 export class TargetPool {
-	readonly speed: TargetSpeed;
+	readonly outlierDetector: OutlierDetector;
 	/** Work sent to all targets of late. */
-	readonly recentWork: FadingSum;
+	readonly recentWork: DecayingSum;
 	private readonly byId = new Map<TargetId, PooledTarget>();
 	private readonly free = new Map<RequestClass, FreeTargets<PooledTarget>>();
-	private inUse: readonly PooledTarget[] = [];
+	private activeTargets: readonly PooledTarget[] = [];
 	private nominalSlots = 0;
 	/** Those of this entry's own availability zone, or all where it has none: prefixes are kept near. */
-	private near: readonly PooledTarget[] = [];
+	private affinityTargets: readonly PooledTarget[] = [];
 	/** Rankings by prefix, since a prefix comes again; forgotten when the targets change. */
-	private readonly rankings = new LRUCache<string, readonly PooledTarget[]>({ max: mostRankings });
+	private readonly rankings = new LRUCache<string, readonly PooledTarget[]>({ max: maxRankings });
 	private readonly paused = new Set<PooledTarget>();
 	/** When the first of the paused targets may be tried. */
-	private nextReturnMs = Number.POSITIVE_INFINITY;
+	private nextResumeMs = Number.POSITIVE_INFINITY;
 	private slots = 0;
-	private reportFadeMs = 1;
-	private neutralOthers: number | undefined;
+	private reportDecayMs = 1;
+	private meanOtherRequests: number | undefined;
 
 	constructor(
 		private readonly policy: SchedulingPolicy,
@@ -56,13 +56,13 @@
 		for (const requestClass of requestClasses) {
 			this.free.set(requestClass, new FreeTargets());
 		}
-		this.recentWork = new FadingSum(policy.choice.loadFadeMs);
-		this.speed = new TargetSpeed(policy.speed);
+		this.recentWork = new DecayingSum(policy.choice.loadDecayMs);
+		this.outlierDetector = new OutlierDetector(policy.outlierDetection);
 	}
 
 	/** Targets that take new work, paused and slow ones included. */
 	get targets(): readonly PooledTarget[] {
-		return this.inUse;
+		return this.activeTargets;
 	}
 
 	/** Requests that all targets in use may run for this entry at a time. */
@@ -71,7 +71,7 @@
 	}
 
 	/** A target's part of all slots, before limits and shares. */
-	computePart({ target }: TargetUse): number {
+	computeSlotShare({ target }: TargetUse): number {
 		return target.slots / this.nominalSlots;
 	}
 
@@ -90,10 +90,10 @@
 		for (const target of targets) {
 			this.putTarget(target);
 		}
-		this.inUse = [...this.byId.values()].filter(pooled => !pooled.use.target.isLeaving);
-		const sameZone = this.inUse.filter(pooled => pooled.use.target.isSameZone);
-		this.near = sameZone.length > 0 ? sameZone : this.inUse;
-		this.speed.setTargets(this.inUse.map(pooled => pooled.id));
+		this.activeTargets = [...this.byId.values()].filter(pooled => !pooled.use.target.isLeaving);
+		const sameZone = this.activeTargets.filter(pooled => pooled.use.target.isSameZone);
+		this.affinityTargets = sameZone.length > 0 ? sameZone : this.activeTargets;
+		this.outlierDetector.setTargets(this.activeTargets.map(pooled => pooled.id));
 		this.rankings.clear();
 		this.updateTotals();
 		this.updateAllFree(nowMs);
@@ -125,10 +125,10 @@
 	}
 
 	isFree({ id, use }: PooledTarget, requestClass: RequestClass, nowMs: number): boolean {
-		if (use.target.isLeaving || use.isPaused(nowMs) || this.speed.isAvoided(id)) {
+		if (use.target.isLeaving || use.isPaused(nowMs) || this.outlierDetector.isEjected(id)) {
 			return false;
 		}
-		return use.hasRoom(this.policy.classes[requestClass].reservedShare, this.speed.getSlowness(id));
+		return use.hasRoom(this.policy.classes[requestClass].reservedShare, this.outlierDetector.getSlowness(id));
 	}
 
 	/** Something about the target changed: an attempt started or ended, it was paused or is alive. */
@@ -138,7 +138,7 @@
 		}
 		if (target.use.isPaused(nowMs)) {
 			this.paused.add(target);
-			this.nextReturnMs = Math.min(this.nextReturnMs, target.use.pausedUntilMs);
+			this.nextResumeMs = Math.min(this.nextResumeMs, target.use.pausedUntilMs);
 		}
 		for (const [requestClass, free] of this.free) {
 			free.set(target, this.isFree(target, requestClass, nowMs));
@@ -149,7 +149,7 @@
 	findRanked(prefixKey: string): readonly PooledTarget[] {
 		let ranked = this.rankings.get(prefixKey);
 		if (ranked === undefined) {
-			ranked = findBestRanked(this.near, prefixKey, this.policy.choice.affinityDepth);
+			ranked = findBestRanked(this.affinityTargets, prefixKey, this.policy.choice.maxAffinityTargets);
 			this.rankings.set(prefixKey, ranked);
 		}
 		return ranked;
@@ -168,46 +168,46 @@
 	}
 
 	/** Work of others on a target, in requests; without any report the others are taken to use it as we do. */
-	estimateOthers(use: TargetUse, nowMs: number): number {
-		const asWeDo = use.running * (1 / use.target.share - 1);
-		return use.estimateOthers(this.neutralOthers ?? asWeDo, this.reportFadeMs, nowMs);
+	estimateOtherRequests(use: TargetUse, nowMs: number): number {
+		const ownUseScaled = use.running * (1 / use.target.share - 1);
+		return use.estimateOtherRequests(this.meanOtherRequests ?? ownUseScaled, this.reportDecayMs, nowMs);
 	}
 
 	/** An attempt was refused or found no connection. */
-	notePause(use: TargetUse, nowMs: number): void {
-		const { firstMs, longestMs } = this.policy.pause;
-		const pauseMs = Math.min(longestMs, firstMs * 2 ** use.failuresInRow);
-		use.failuresInRow++;
+	pauseTarget(use: TargetUse, nowMs: number): void {
+		const { initialMs: firstMs, maxMs: longestMs } = this.policy.pause;
+		const pauseMs = Math.min(longestMs, firstMs * 2 ** use.consecutiveFailures);
+		use.consecutiveFailures++;
 		use.pausedUntilMs = Math.max(use.pausedUntilMs, nowMs + pauseMs * (1 + this.random.pickFraction() / 2));
 	}
 
 	/** The target answered. */
-	noteAlive(use: TargetUse): void {
-		use.failuresInRow = 0;
+	clearFailures(use: TargetUse): void {
+		use.consecutiveFailures = 0;
 		use.pausedUntilMs = 0;
 	}
 
 	/** Work was sent to a target. One that failed before is tried by one attempt: others stay away until that one's end. */
-	noteStart(use: TargetUse, workMs: number, nowMs: number): void {
+	recordStart(use: TargetUse, workMs: number, nowMs: number): void {
 		this.recentWork.add(workMs, nowMs);
 		use.recentWork.add(workMs, nowMs);
-		if (use.failuresInRow > 0) {
-			use.pausedUntilMs = nowMs + this.policy.pause.longestMs;
+		if (use.consecutiveFailures > 0) {
+			use.pausedUntilMs = nowMs + this.policy.pause.maxMs;
 		}
 	}
 
 	/** Whether every target has failed several times in a row and is paused for it. */
 	isDown(nowMs: number): boolean {
-		const { downAfter } = this.policy.pause;
-		return this.inUse.every(({ use }) => use.failuresInRow >= downAfter && use.isPaused(nowMs));
+		const { downAfterFailures: downAfter } = this.policy.pause;
+		return this.activeTargets.every(({ use }) => use.consecutiveFailures >= downAfter && use.isPaused(nowMs));
 	}
 
 	/** Compares speeds and gives back limits; called at each check. `runMs` is the mean run of what runs. */
 	update(elapsedMs: number, runMs: number, nowMs: number): void {
-		this.reportFadeMs = Math.max(1, runMs * this.policy.choice.reportFadeRuns);
-		this.speed.compare();
-		for (const { use } of this.inUse) {
-			use.noteQuiet(elapsedMs);
+		this.reportDecayMs = Math.max(1, runMs * this.policy.choice.reportDecayRuns);
+		this.outlierDetector.compare();
+		for (const { use } of this.activeTargets) {
+			use.advanceRecovery(elapsedMs);
 		}
 		this.updateTotals();
 		this.updateAllFree(nowMs);
@@ -215,13 +215,13 @@
 
 	/** Looks again at targets whose pause has ended. */
 	private checkPaused(nowMs: number): void {
-		if (nowMs < this.nextReturnMs) {
+		if (nowMs < this.nextResumeMs) {
 			return;
 		}
-		this.nextReturnMs = Number.POSITIVE_INFINITY;
+		this.nextResumeMs = Number.POSITIVE_INFINITY;
 		for (const target of this.paused) {
 			if (target.use.isPaused(nowMs)) {
-				this.nextReturnMs = Math.min(this.nextReturnMs, target.use.pausedUntilMs);
+				this.nextResumeMs = Math.min(this.nextResumeMs, target.use.pausedUntilMs);
 			} else {
 				this.paused.delete(target);
 				this.updateFree(target, nowMs);
@@ -233,7 +233,7 @@
 		for (const free of this.free.values()) {
 			free.clear();
 		}
-		for (const target of this.inUse) {
+		for (const target of this.activeTargets) {
 			this.updateFree(target, nowMs);
 		}
 	}
@@ -243,27 +243,27 @@
 		let nominalSlots = 0;
 		let others = 0;
 		let reports = 0;
-		for (const { use } of this.inUse) {
-			slots += this.speed.isAvoided(use.target.id) ? 0 : use.limit;
+		for (const { use } of this.activeTargets) {
+			slots += this.outlierDetector.isEjected(use.target.id) ? 0 : use.limit;
 			nominalSlots += use.target.slots;
-			const reported = use.getReportedOthers();
+			const reported = use.getReportedOtherRequests();
 			others += reported ?? 0;
 			reports += reported === undefined ? 0 : 1;
 		}
-		this.slots = slots === 0 ? this.addLeastSlot() : slots;
+		this.slots = slots === 0 ? this.addMinimumSlot() : slots;
 		this.nominalSlots = nominalSlots;
-		this.neutralOthers = reports === 0 ? undefined : others / reports;
+		this.meanOtherRequests = reports === 0 ? undefined : others / reports;
 	}
 
 	/** Gives the entry one slot at the target where it is nearest to one; gives the slots it has then. */
-	private addLeastSlot(): number {
+	private addMinimumSlot(): number {
 		let nearest: TargetUse | undefined;
-		for (const { use } of this.inUse) {
-			if (nearest === undefined || use.claim > nearest.claim) {
+		for (const { use } of this.activeTargets) {
+			if (nearest === undefined || use.fractionalLimit > nearest.fractionalLimit) {
 				nearest = use;
 			}
 		}
-		nearest?.addLeastSlot();
+		nearest?.setLimitToOne();
 		return nearest === undefined ? 0 : 1;
 	}
 
@@ -277,7 +277,7 @@
 			target,
 			this.policy.limit,
 			this.random.pickFraction(),
-			this.policy.choice.loadFadeMs,
+			this.policy.choice.loadDecayMs,
 		);
 		this.byId.set(target.id, { id: target.id, idHash: computeTextHash(target.id), use });
 	}
--- a/src/entry/common/scheduling/targetUse.ts
+++ b/src/entry/common/scheduling/targetUse.ts
@@ -14,43 +14,43 @@
  * urgent class starves the others. A refusal cuts the share itself.
  */
 
-import { FadingSum } from './fadingSum';
+import { DecayingSum } from './decayingSum';
 import type { LimitPolicy } from './policy';
 import type { ReportedLoad, SchedulableTarget } from './serviceScheduler';
 
 /** A report with the moment it speaks of. */
-interface LoadNote {
-	readonly spokenMs: number;
+interface LoadSnapshot {
+	readonly measuredMs: number;
 	/** Requests of others that the target held, running and waiting. */
-	readonly others: number;
+	readonly otherRequests: number;
 }
 
 /** Weight of one report in the mean of a target's fill: some five reports, so that one burst is no overload. */
-const fillWeight = 0.2;
+const reportWeight = 0.2;
 
 /** The state of one target at one entry. */
 export class TargetUse {
 	/** Attempts of this entry that run there. */
 	running = 0;
 	/** Of these, the ones whose class leaves a reserve. */
-	runningReserved = 0;
+	runningOutsideReserve = 0;
 	/** Of these, the ones that must run apart from each other. */
-	runningApart = 0;
+	runningCrashSuspects = 0;
 	/** Work sent there of late. */
-	readonly recentWork: FadingSum;
+	readonly recentWork: DecayingSum;
 	/** No attempt before this time: the last ones could not be made or were refused. */
 	pausedUntilMs = 0;
 	/** Refused or unconnected attempts in a row. */
-	failuresInRow = 0;
+	consecutiveFailures = 0;
 	/** Factor on the share, in (0, 1]. */
-	private correction = 1;
+	private limitFactor = 1;
 	/** Factor on what may be borrowed, in [0, 1]. */
-	private borrowing = 1;
-	private correctedMs = Number.NEGATIVE_INFINITY;
-	private limitNow = 1;
+	private borrowShare = 1;
+	private decreasedMs = Number.NEGATIVE_INFINITY;
+	private currentLimit = 1;
 	/** Mean of what ran and waited there by its reports, as a part of its slots. */
 	private meanFill: number | undefined;
-	private load: LoadNote | undefined;
+	private lastReport: LoadSnapshot | undefined;
 
 	constructor(
 		public target: SchedulableTarget,
@@ -59,7 +59,7 @@
 		private readonly rounding: number,
 		loadFadeMs: number,
 	) {
-		this.recentWork = new FadingSum(loadFadeMs);
+		this.recentWork = new DecayingSum(loadFadeMs);
 		this.updateLimit();
 	}
 
@@ -68,17 +68,17 @@
 	 * most targets of each entry: one slot for every entry at every target would be several times its slots.
 	 */
 	get limit(): number {
-		return this.limitNow;
+		return this.currentLimit;
 	}
 
 	/** Share and rounding together; of targets with a limit of 0 the greatest is nearest to a slot. */
-	get claim(): number {
+	get fractionalLimit(): number {
 		return this.computeShare() + this.rounding;
 	}
 
 	/** An entry with a limit of 0 everywhere may use one slot here, or it could serve nothing. */
-	addLeastSlot(): void {
-		this.limitNow = 1;
+	setLimitToOne(): void {
+		this.currentLimit = 1;
 	}
 
 	setTarget(target: SchedulableTarget): void {
@@ -96,69 +96,73 @@
 	 */
 	hasRoom(reservedShare: number, slowness: number): boolean {
 		if (reservedShare === 0) {
-			return this.running < this.openLimit / slowness;
+			return this.running < this.burstLimit / slowness;
 		}
-		const open = Math.ceil(this.limitNow * (1 - reservedShare));
-		return this.running < this.limitNow / slowness && this.runningReserved < open;
+		const open = Math.ceil(this.currentLimit * (1 - reservedShare));
+		return this.running < this.currentLimit / slowness && this.runningOutsideReserve < open;
 	}
 
 	/** The share and what short requests may borrow beyond it; `slots` at most. */
-	get openLimit(): number {
-		const borrowed = this.borrowing * this.policy.borrowDeviations * Math.sqrt(this.computeShare());
-		return Math.max(this.limitNow, Math.min(this.target.slots, Math.floor(this.claim + borrowed)));
+	get burstLimit(): number {
+		const borrowed = this.borrowShare * this.policy.borrowFactor * Math.sqrt(this.computeShare());
+		return Math.max(
+			this.currentLimit,
+			Math.min(this.target.slots, Math.floor(this.fractionalLimit + borrowed)),
+		);
 	}
 
 	noteLoad(load: ReportedLoad, nowMs: number): void {
 		const others = Math.max(0, load.running + load.waiting - this.running);
-		this.load = { spokenMs: nowMs - load.ageMs, others };
+		this.lastReport = { measuredMs: nowMs - load.ageMs, otherRequests: others };
 		const fill = (load.running + load.waiting) / Math.max(1, load.slots);
-		this.meanFill = this.meanFill === undefined ? fill : this.meanFill + fillWeight * (fill - this.meanFill);
-		this.borrowing = this.computeBorrowing(this.meanFill);
+		this.meanFill =
+			this.meanFill === undefined ? fill : this.meanFill + reportWeight * (fill - this.meanFill);
+		this.borrowShare = this.computeBorrowShare(this.meanFill);
 	}
 
 	/** Requests of others there; fades from the last report to a neutral value as the report ages. */
-	estimateOthers(neutral: number, fadeMs: number, nowMs: number): number {
-		if (this.load === undefined) {
-			return neutral;
+	estimateOtherRequests(fallback: number, decayMs: number, nowMs: number): number {
+		if (this.lastReport === undefined) {
+			return fallback;
 		}
-		const belief = Math.exp(-Math.max(0, nowMs - this.load.spokenMs) / fadeMs);
-		return neutral + (this.load.others - neutral) * belief;
+		const weight = Math.exp(-Math.max(0, nowMs - this.lastReport.measuredMs) / decayMs);
+		return fallback + (this.lastReport.otherRequests - fallback) * weight;
 	}
 
 	/** What the last report said of others, or undefined where there is none. */
-	getReportedOthers(): number | undefined {
-		return this.load?.others;
+	getReportedOtherRequests(): number | undefined {
+		return this.lastReport?.otherRequests;
 	}
 
 	/** The target refused for want of room. */
-	noteOverload(nowMs: number): void {
-		if (nowMs - this.correctedMs < this.policy.decreasePauseMs) {
+	cutLimit(nowMs: number): void {
+		if (nowMs - this.decreasedMs < this.policy.minDecreaseIntervalMs) {
 			return;
 		}
-		this.correctedMs = nowMs;
-		this.correction = Math.max(this.policy.leastShare, this.correction * this.policy.decrease);
+		this.decreasedMs = nowMs;
+		this.limitFactor = Math.max(this.policy.minShare, this.limitFactor * this.policy.decreaseFactor);
 		this.updateLimit();
 	}
 
 	/** Gives back a part of the limit for time that passed without a sign of overload. */
-	noteQuiet(elapsedMs: number): void {
-		if (this.correction < 1) {
+	advanceRecovery(elapsedMs: number): void {
+		if (this.limitFactor < 1) {
 			const increase = (this.policy.increasePerSecond * elapsedMs) / 1_000;
-			this.correction = Math.min(1, this.correction + increase);
+			this.limitFactor = Math.min(1, this.limitFactor + increase);
 			this.updateLimit();
 		}
 	}
 
-	private computeBorrowing(fill: number): number {
-		const { borrowBelowFill, borrowNoneAtFill } = this.policy;
+	private computeBorrowShare(fill: number): number {
+		const { fullBorrowMaxFill: borrowBelowFill, noBorrowMinFill: borrowNoneAtFill } = this.policy;
 		return Math.max(0, Math.min(1, (borrowNoneAtFill - fill) / (borrowNoneAtFill - borrowBelowFill)));
 	}
 
 	private computeShare(): number {
-		return this.target.slots * this.target.share * this.correction;
+		return this.target.slots * this.target.share * this.limitFactor;
 	}
 
 	private updateLimit(): void {
-		this.limitNow = Math.floor(this.claim);
+		this.currentLimit = Math.floor(this.fractionalLimit);
 	}
 }
--- a/src/entry/common/scheduling/test/targetSpeed.test.ts
+++ b/src/entry/common/scheduling/test/outlierDetector.test.ts
@@ -1,14 +1,14 @@
 import { SeededRandom } from '../../../../base/common/random';
 import type { TargetId } from '../../../../core/ids/common/ids';
 import { defaultSchedulingPolicy } from '../policy';
-import { TargetSpeed } from '../targetSpeed';
+import { OutlierDetector } from '../outlierDetector';
 
 const targets = Array.from({ length: 8 }, (_, index) => `t${index}` as TargetId);
 const [slow = '' as TargetId] = targets;
 const expectedMs = 300;
 
-function createSpeed(): TargetSpeed {
-	const speed = new TargetSpeed(defaultSchedulingPolicy.speed);
+function createSpeed(): OutlierDetector {
+	const speed = new OutlierDetector(defaultSchedulingPolicy.outlierDetection);
 	speed.setTargets(targets);
 	return speed;
 }
@@ -21,14 +21,14 @@
 }
 
 function noteRuns(
-	speed: TargetSpeed,
+	speed: OutlierDetector,
 	random: SeededRandom,
 	runs: number,
 	factors: Map<TargetId, number>,
 ): void {
 	for (let run = 0; run < runs; run++) {
 		for (const target of targets) {
-			speed.note(target, pickRunMs(random) * (factors.get(target) ?? 1), expectedMs);
+			speed.recordRun(target, pickRunMs(random) * (factors.get(target) ?? 1), expectedMs);
 		}
 		speed.compare();
 	}
@@ -39,7 +39,7 @@
 	it('finds a slow target within twelve runs and gives it trial requests only', () => {
 		const speed = createSpeed();
 		noteRuns(speed, new SeededRandom(1), 12, new Map([[slow, 5]]));
-		expect(targets.filter(target => speed.isAvoided(target))).toEqual([slow]);
+		expect(targets.filter(target => speed.isEjected(target))).toEqual([slow]);
 		expect(speed.isTrialDue(slow, 0)).toBe(true);
 		speed.beginTrial(slow, 0);
 		speed.endTrial(slow);
@@ -52,21 +52,21 @@
 		const random = new SeededRandom(2);
 		noteRuns(speed, random, 20, new Map([[slow, 5]]));
 		noteRuns(speed, random, 8, new Map());
-		expect(speed.isAvoided(slow)).toBe(false);
+		expect(speed.isEjected(slow)).toBe(false);
 	});
 
 	// The whole service slows down, by a new model or a full night. A fixed limit would eject every target.
 	it('avoids none when all are slow', () => {
 		const speed = createSpeed();
 		noteRuns(speed, new SeededRandom(3), 100, new Map(targets.map(target => [target, 5])));
-		expect(speed.hasAvoided()).toBe(false);
+		expect(speed.hasEjected()).toBe(false);
 	});
 
 	it('never avoids more than a third', () => {
 		const speed = createSpeed();
 		const four = new Map(targets.slice(0, 3).map(target => [target, 8]));
 		noteRuns(speed, new SeededRandom(4), 50, four);
-		expect(targets.filter(target => speed.isAvoided(target)).length).toBeLessThanOrEqual(2);
+		expect(targets.filter(target => speed.isEjected(target)).length).toBeLessThanOrEqual(2);
 	});
 
 	it('ejects no healthy target in a thousand seeds', () => {
@@ -76,7 +76,7 @@
 			const random = new SeededRandom(seed * 7_919);
 			for (let step = 0; step < 5; step++) {
 				noteRuns(speed, random, 20, new Map());
-				ejected += targets.some(target => speed.isAvoided(target)) ? 1 : 0;
+				ejected += targets.some(target => speed.isEjected(target)) ? 1 : 0;
 			}
 		}
 		expect(ejected).toBe(0);
--- a/src/entry/common/scheduling/test/scheduler.test.ts
+++ b/src/entry/common/scheduling/test/scheduler.test.ts
@@ -50,9 +50,9 @@
 	scheduler: ServiceScheduler,
 	end: AttemptEnd,
 	more: Partial<SchedulableRequest> = {},
-): { readonly target: TargetId; readonly isTakenBack: boolean } {
+): { readonly target: TargetId; readonly isRequeued: boolean } {
 	const [start] = listStarts(submit(scheduler, [createRequest('r0', more)], 0));
-	return { target: start!.target, isTakenBack: scheduler.noteEnd('r0' as RequestId, end, 10) };
+	return { target: start!.target, isRequeued: scheduler.noteEnd('r0' as RequestId, end, 10) };
 }
 
 describe('ServiceScheduler under overload', () => {
@@ -106,7 +106,7 @@
 	it('makes an attempt that cannot have run again elsewhere, for any request', () => {
 		for (const end of [AttemptEnd.TargetRefused, AttemptEnd.NotConnected]) {
 			const scheduler = createScheduler('t1', 't2');
-			const { target, isTakenBack } = endFirst(scheduler, end, { isRepeatable: false });
+			const { target, isRequeued: isTakenBack } = endFirst(scheduler, end, { isRepeatable: false });
 			expect(isTakenBack).toBe(true);
 			const [retry] = listStarts(scheduler.advance(10));
 			expect(retry?.target).toBeDefined();
@@ -117,8 +117,8 @@
 	// A connection breaks while a payment runs. Sent again, the household would be charged twice.
 	it('never repeats an attempt that may have run unless the request allows it', () => {
 		for (const end of [AttemptEnd.Failed, AttemptEnd.Silent]) {
-			expect(endFirst(createScheduler('t1', 't2'), end, { isRepeatable: false }).isTakenBack).toBe(false);
-			expect(endFirst(createScheduler('t1', 't2'), end).isTakenBack).toBe(true);
+			expect(endFirst(createScheduler('t1', 't2'), end, { isRepeatable: false }).isRequeued).toBe(false);
+			expect(endFirst(createScheduler('t1', 't2'), end).isRequeued).toBe(true);
 		}
 	});
 
--- a/src/entry/common/scheduling/test/schedulerProperties.test.ts
+++ b/src/entry/common/scheduling/test/schedulerProperties.test.ts
@@ -7,11 +7,11 @@
 import { ServiceScheduler } from '../scheduler';
 import type { SchedulableRequest, SchedulableTarget } from '../serviceScheduler';
 import { AttemptEnd, ScheduleDecisionKind } from '../serviceScheduler';
-import { isUnrun } from '../attempt';
+import { isNotRun } from '../attempt';
 import { createRequest, createTarget } from './fixtures';
 
 /** Carries out decisions and keeps the books that the scheduler is checked against. */
-class Bookkeeper {
+class SchedulerModel {
 	nowMs = 0;
 	readonly scheduler = new ServiceScheduler(new SeededRandom(7));
 	readonly waiting = new Map<RequestId, SchedulableRequest>();
@@ -34,12 +34,12 @@
 
 	end(id: RequestId, end: AttemptEnd): void {
 		this.running.delete(id);
-		if (!isUnrun(end)) {
+		if (!isNotRun(end)) {
 			this.mayHaveRun.add(id);
 		}
 		const request = this.submitted.get(id)!;
 		if (this.scheduler.noteEnd(id, end, this.nowMs)) {
-			expect(isUnrun(end) || request.isRepeatable).toBe(true);
+			expect(isNotRun(end) || request.isRepeatable).toBe(true);
 			this.waiting.set(id, request);
 		}
 		this.advance();
@@ -88,46 +88,46 @@
 const ends = Object.values(AttemptEnd);
 
 function applyOperation(
-	books: Bookkeeper,
+	model: SchedulerModel,
 	{ kind, pick }: { kind: string; pick: number },
 	index: number,
 ): void {
 	if (kind === 'submit') {
-		books.submit(
+		model.submit(
 			createRequest(`r${index}`, {
 				organisation: `o${pick % 3}` as OrganisationName,
 				requestClass: requestClasses[pick % 3] ?? RequestClass.Urgent,
-				arrivedMs: books.nowMs,
-				deadlineMs: books.nowMs + 3_000 + pick * 500,
+				arrivedMs: model.nowMs,
+				deadlineMs: model.nowMs + 3_000 + pick * 500,
 				isRepeatable: pick % 4 !== 0,
 				prefixKey: pick % 5 === 0 ? `p${pick}` : undefined,
 			}),
 		);
 	} else if (kind === 'end') {
-		const id = [...books.running.keys()][pick % Math.max(1, books.running.size)];
+		const id = [...model.running.keys()][pick % Math.max(1, model.running.size)];
 		if (id !== undefined) {
-			books.end(id, ends[pick % ends.length] ?? AttemptEnd.Answered);
+			model.end(id, ends[pick % ends.length] ?? AttemptEnd.Answered);
 		}
 	} else if (kind === 'cancel') {
-		const id = [...books.waiting.keys()][pick % Math.max(1, books.waiting.size)];
+		const id = [...model.waiting.keys()][pick % Math.max(1, model.waiting.size)];
 		if (id !== undefined) {
-			books.waiting.delete(id);
-			books.scheduler.cancel(id);
-			books.advance();
+			model.waiting.delete(id);
+			model.scheduler.cancel(id);
+			model.advance();
 		}
 	} else {
-		books.nowMs += pick;
-		books.advance();
+		model.nowMs += pick;
+		model.advance();
 	}
 }
 
-function endAll(books: Bookkeeper): void {
-	for (let step = 0; step < 10_000 && books.running.size + books.waiting.size > 0; step++) {
-		for (const id of [...books.running.keys()]) {
-			books.end(id, AttemptEnd.Answered);
+function endAll(model: SchedulerModel): void {
+	for (let step = 0; step < 10_000 && model.running.size + model.waiting.size > 0; step++) {
+		for (const id of [...model.running.keys()]) {
+			model.end(id, AttemptEnd.Answered);
 		}
-		books.nowMs += 100;
-		books.advance();
+		model.nowMs += 100;
+		model.advance();
 	}
 }
 
@@ -135,7 +135,7 @@
 	it('decides each request once, keeps to limits and to the order within an organisation and class', () => {
 		fc.assert(
 			fc.property(fc.array(operation, { maxLength: 120 }), operations => {
-				const books = new Bookkeeper([
+				const books = new SchedulerModel([
 					createTarget('t1', { slots: 2 }),
 					createTarget('t2', { slots: 5, share: 0.5 }),
 					createTarget('t3', { slots: 1, isSameZone: false }),
--- a/src/entry/common/scheduling/test/targetUse.test.ts
+++ b/src/entry/common/scheduling/test/targetUse.test.ts
@@ -24,7 +24,7 @@
 		const use = createUse();
 		while (use.hasRoom(draftReserve, 1)) {
 			use.running++;
-			use.runningReserved++;
+			use.runningOutsideReserve++;
 		}
 		expect(use.running).toBe(6);
 		expect(use.hasRoom(0, 1)).toBe(true);
@@ -41,28 +41,28 @@
 	it('lends to short requests until reports show the target full', () => {
 		const use = createUse({ share: 1 / 6 });
 		expect(use.limit).toBe(1);
-		expect(use.openLimit).toBe(3);
+		expect(use.burstLimit).toBe(3);
 		for (let report = 0; report < 20; report++) {
 			use.noteLoad(createLoad(8, 6), report);
 		}
-		expect(use.openLimit).toBe(1);
+		expect(use.burstLimit).toBe(1);
 		for (let report = 0; report < 20; report++) {
 			use.noteLoad(createLoad(5, 0), report);
 		}
-		expect(use.openLimit).toBe(3);
+		expect(use.burstLimit).toBe(3);
 	});
 
 	// A target refuses for want of room: its real capacity is lower than stated.
 	it('lowers the limit on refusals, once for each bunch of them, and gives it back with time', () => {
 		const use = createUse();
-		use.noteOverload(0);
-		use.noteOverload(10);
+		use.cutLimit(0);
+		use.cutLimit(10);
 		expect(use.limit).toBe(6);
 		for (let refusal = 1; refusal < 50; refusal++) {
-			use.noteOverload(refusal * 1_000);
+			use.cutLimit(refusal * 1_000);
 		}
 		expect(use.limit).toBe(2);
-		use.noteQuiet(20_000);
+		use.advanceRecovery(20_000);
 		expect(use.limit).toBe(8);
 	});
 });
--- a/src/entry/common/scheduling/waitPredictor.ts
+++ b/src/entry/common/scheduling/waitPredictor.ts
@@ -23,21 +23,21 @@
 	) {}
 
 	/** Wait of a further request of the organisation, in milliseconds. */
-	estimateWait(lane: ClassLane, organisation: OrganisationName, weight: number, patienceMs: number): number {
-		const aheadMs = lane.queue.computeWorkAhead(organisation, weight);
-		return this.estimateAfter(lane, aheadMs, patienceMs);
+	estimateWait(lane: ClassLane, organisation: OrganisationName, weight: number, timeLeftMs: number): number {
+		const workAheadMs = lane.queue.computeWorkAhead(organisation, weight);
+		return this.estimateWaitAfter(lane, workAheadMs, timeLeftMs);
 	}
 
 	/** Wait of a request that is served after `aheadMs` of work and could wait for `patienceMs`. */
-	estimateAfter(lane: ClassLane, aheadMs: number, patienceMs: number): number {
+	estimateWaitAfter(lane: ClassLane, workAheadMs: number, timeLeftMs: number): number {
 		const turnMs = this.lanes.computeWorkAhead(lane) / Math.max(1, this.pool.totalSlots);
-		const freeMs = Math.max(this.estimateNextFree(), this.estimateLaneFree(lane));
-		return freeMs + turnMs + aheadMs / this.countSlots(lane, patienceMs);
+		const freeMs = Math.max(this.estimateTimeToFreeSlot(), this.estimateTimeToLaneSlot(lane));
+		return freeMs + turnMs + workAheadMs / this.countUsableSlots(lane, timeLeftMs);
 	}
 
 	/** Slots that the class can count on within a time. */
-	countSlots(lane: ClassLane, patienceMs: number): number {
-		const free = this.pool.totalSlots - this.countHeldByLessUrgent(lane, patienceMs);
+	countUsableSlots(lane: ClassLane, timeLeftMs: number): number {
+		const availableSlots = this.pool.totalSlots - this.countHeldByLessUrgent(lane, timeLeftMs);
 		let heldByMoreUrgent = 0;
 		let weights = lane.policy.weight;
 		for (const other of this.lanes.lanes) {
@@ -46,50 +46,50 @@
 				weights += other.queue.size > 0 ? other.policy.weight : 0;
 			}
 		}
-		const guaranteed = (free * lane.policy.weight) / weights;
-		const open = this.lanes.computeOpenSlots(lane, this.pool.totalSlots, this.pool.meanShare);
-		return Math.max(1, Math.min(open, Math.max(guaranteed, free - heldByMoreUrgent)));
+		const guaranteed = (availableSlots * lane.policy.weight) / weights;
+		const slotLimit = this.lanes.computeSlotLimit(lane, this.pool.totalSlots, this.pool.meanShare);
+		return Math.max(1, Math.min(slotLimit, Math.max(guaranteed, availableSlots - heldByMoreUrgent)));
 	}
 
 	/** Mean run of what runs now, in milliseconds; 0 where nothing does. */
 	estimateMeanRun(): number {
 		let runMs = 0;
 		for (const lane of this.lanes.lanes) {
-			runMs += lane.running * this.estimator.estimateClass(lane.requestClass);
+			runMs += lane.running * this.estimator.estimateForClass(lane.requestClass);
 		}
 		return runMs / Math.max(1, this.lanes.running);
 	}
 
 	/** Mean time until some slot is free, in milliseconds; 0 while one is. */
-	estimateNextFree(): number {
+	estimateTimeToFreeSlot(): number {
 		if (this.lanes.running < this.pool.totalSlots) {
 			return 0;
 		}
 		let endsPerMs = 0;
 		for (const lane of this.lanes.lanes) {
-			endsPerMs += lane.running / Math.max(1, this.estimator.estimateClass(lane.requestClass));
+			endsPerMs += lane.running / Math.max(1, this.estimator.estimateForClass(lane.requestClass));
 		}
 		return endsPerMs > 0 ? 1 / endsPerMs : 0;
 	}
 
 	/** Mean time until the lane may hold one more slot; 0 while it may. */
-	private estimateLaneFree(lane: ClassLane): number {
+	private estimateTimeToLaneSlot(lane: ClassLane): number {
 		if (
 			lane.running === 0 ||
-			lane.running < this.lanes.computeOpenSlots(lane, this.pool.totalSlots, this.pool.meanShare)
+			lane.running < this.lanes.computeSlotLimit(lane, this.pool.totalSlots, this.pool.meanShare)
 		) {
 			return 0;
 		}
-		return this.estimator.estimateClass(lane.requestClass) / lane.running;
+		return this.estimator.estimateForClass(lane.requestClass) / lane.running;
 	}
 
 	/** Slots that less urgent classes hold on to for longer than the request can wait. */
-	private countHeldByLessUrgent(lane: ClassLane, patienceMs: number): number {
+	private countHeldByLessUrgent(lane: ClassLane, timeLeftMs: number): number {
 		let held = 0;
 		for (const other of this.lanes.lanes) {
 			if (other.policy.weight < lane.policy.weight) {
-				const runMs = this.estimator.estimateClass(other.requestClass);
-				held += other.meanRunning * Math.max(0, 1 - patienceMs / runMs);
+				const runMs = this.estimator.estimateForClass(other.requestClass);
+				held += other.meanRunning * Math.max(0, 1 - timeLeftMs / runMs);
 			}
 		}
 		return held;
--- a/src/entry/common/scheduling/workEstimator.ts
+++ b/src/entry/common/scheduling/workEstimator.ts
@@ -10,9 +10,9 @@
 import type { ClassPolicy } from './policy';
 
 /** Twenty runs: a change of the work shows within seconds, and one odd run moves the mean by 5% of itself. */
-const leastWeight = 0.05;
+const minRunWeight = 0.05;
 /** Runs of an organisation before its own mean is believed rather than that of its class. */
-const leastOwnRuns = 5;
+const minOrganisationRuns = 5;
 
 interface RunAverage {
 	runs: number;
@@ -27,7 +27,7 @@
 
 function addRun(average: RunAverage, ranMs: number): void {
 	average.runs++;
-	const weight = Math.max(leastWeight, 1 / average.runs);
+	const weight = Math.max(minRunWeight, 1 / average.runs);
 	const distanceMs = ranMs - average.meanMs;
 	average.meanMs += weight * distanceMs;
 	average.deviationMs += weight * (Math.abs(distanceMs) - average.deviationMs);
@@ -50,22 +50,22 @@
 	}
 
 	/** A run that is longer than the mean by a number of deviations, to hold against a deadline. */
-	estimateCautious(organisation: OrganisationName, requestClass: RequestClass, deviations: number): number {
+	estimateWithMargin(organisation: OrganisationName, requestClass: RequestClass, deviations: number): number {
 		const { meanMs, deviationMs } = this.findAverage(organisation, requestClass);
 		return meanMs + deviations * deviationMs;
 	}
 
 	/** The mean run of a class over all organisations. */
-	estimateClass(requestClass: RequestClass): number {
+	estimateForClass(requestClass: RequestClass): number {
 		return this.getClassAverage(requestClass).meanMs;
 	}
 
 	/** Whether a run of the class has been seen at all. */
-	hasSeen(requestClass: RequestClass): boolean {
+	hasRuns(requestClass: RequestClass): boolean {
 		return this.getClassAverage(requestClass).runs > 0;
 	}
 
-	note(organisation: OrganisationName, requestClass: RequestClass, ranMs: number): void {
+	recordRun(organisation: OrganisationName, requestClass: RequestClass, ranMs: number): void {
 		addRun(this.getClassAverage(requestClass), ranMs);
 		let own = this.byOrganisation.get(organisation);
 		if (own === undefined) {
@@ -82,7 +82,7 @@
 
 	private findAverage(organisation: OrganisationName, requestClass: RequestClass): RunAverage {
 		const own = this.byOrganisation.get(organisation)?.get(requestClass);
-		return own !== undefined && own.runs >= leastOwnRuns ? own : this.getClassAverage(requestClass);
+		return own !== undefined && own.runs >= minOrganisationRuns ? own : this.getClassAverage(requestClass);
 	}
 
 	private getClassAverage(requestClass: RequestClass): RunAverage {
--- a/src/entry/common/sendAway/costedSendAway.ts
+++ b/src/entry/common/sendAway/costedSendAway.ts
@@ -11,8 +11,8 @@
 
 import type { IRandom } from '../../../base/common/random';
 import type { InstanceId, RegionName } from '../../../core/ids/common/ids';
-import type { SendAwayFigures } from '../scheduling/policy';
-import { defaultSendAwayFigures } from '../scheduling/policy';
+import type { SendAwayParameters } from '../scheduling/policy';
+import { defaultSendAwayParameters } from '../scheduling/policy';
 import { RemotePeer } from './remotePeer';
 import { RemoteRegion } from './remoteRegion';
 import type { ISendAwayPolicy, RemoteOffer, SendAwayAnswer, SendAwayQuestion } from './sendAwayPolicy';
@@ -35,7 +35,7 @@
 
 	constructor(
 		private readonly random: IRandom,
-		private readonly figures: SendAwayFigures = defaultSendAwayFigures,
+		private readonly figures: SendAwayParameters = defaultSendAwayParameters,
 	) {
 		this.share = new SendAwayShare(figures);
 		this.answerBytes = figures.initialAnswerBytes;
@@ -101,7 +101,7 @@
 	private listPriced(question: SendAwayQuestion, nowMs: number): PricedOffer[] {
 		const priced: PricedOffer[] = [];
 		for (const offer of question.offers) {
-			if (offer.ageMs > this.figures.longestOfferAgeMs || offer.linkBytesPerMs <= 0) {
+			if (offer.ageMs > this.figures.maxOfferAgeMs || offer.linkBytesPerMs <= 0) {
 				continue;
 			}
 			this.getRegion(offer.region).noteOffer(nowMs - offer.ageMs);
@@ -117,7 +117,7 @@
 	private countClaimable(offer: RemoteOffer, nowMs: number): number {
 		const peer = this.peers.get(offer.instance);
 		const reflected = peer?.countAt(nowMs - offer.ageMs - offer.oneWayMs) ?? 0;
-		return Math.ceil((offer.room.freeSlots + reflected) * this.figures.claimShare);
+		return Math.ceil((offer.room.freeSlots + reflected) * this.figures.maxRoomShare);
 	}
 
 	private isUsable(offer: RemoteOffer, { request }: SendAwayQuestion, nowMs: number): boolean {
@@ -146,7 +146,7 @@
 					this.peers.delete(other);
 				}
 			}
-			peer = new RemotePeer(region, 2 * this.figures.longestOfferAgeMs);
+			peer = new RemotePeer(region, 2 * this.figures.maxOfferAgeMs);
 			this.peers.set(instance, peer);
 		}
 		return peer;
--- a/src/entry/common/sendAway/remoteRegion.ts
+++ b/src/entry/common/sendAway/remoteRegion.ts
@@ -6,8 +6,8 @@
  * idle at the same moment, and the load of the whole fleet meets targets that compute each prefix anew.
  */
 
-import type { SendAwayFigures } from '../scheduling/policy';
-import { FadingSum } from '../scheduling/fadingSum';
+import type { SendAwayParameters } from '../scheduling/policy';
+import { DecayingSum } from '../scheduling/decayingSum';
 import { LinkBudget } from './linkBudget';
 
 /** Weight of one answer in the mean time of answers, and the multiple of it that counts as slow. */
@@ -17,22 +17,22 @@
 /** One other region as one entry sends to it. */
 export class RemoteRegion {
 	readonly link: LinkBudget;
-	private readonly answers: FadingSum;
+	private readonly answers: DecayingSum;
 	private inFlight = 0;
 	private meanTookMs: number | undefined;
 	private step: number;
 	private steppedMs = Number.NEGATIVE_INFINITY;
 	private offeredMs = Number.NEGATIVE_INFINITY;
 
-	constructor(private readonly figures: SendAwayFigures) {
-		this.link = new LinkBudget(figures.linkBurstMs, figures.linkUse);
-		this.answers = new FadingSum(figures.warmthFadeMs);
+	constructor(private readonly figures: SendAwayParameters) {
+		this.link = new LinkBudget(figures.linkBurstMs, figures.linkUtilization);
+		this.answers = new DecayingSum(figures.cacheDecayMs);
 		this.step = figures.firstStep;
 	}
 
 	/** The region has offered room; after an absence it starts at the first step. */
 	noteOffer(nowMs: number): void {
-		if (nowMs - this.offeredMs > this.figures.absenceMs) {
+		if (nowMs - this.offeredMs > this.figures.slowStartAfterSilenceMs) {
 			this.step = this.figures.firstStep;
 			this.steppedMs = nowMs;
 		}
@@ -70,7 +70,7 @@
 		const usualMs = this.meanTookMs ?? tookMs;
 		this.meanTookMs = usualMs + tookWeight * (tookMs - usualMs);
 		const isFast = tookMs <= usualMs * slowFactor;
-		if (wasFull && isFast && nowMs - this.steppedMs >= this.figures.stepMs) {
+		if (wasFull && isFast && nowMs - this.steppedMs >= this.figures.slowStartStepMs) {
 			this.step *= 2;
 			this.steppedMs = nowMs;
 		}
--- a/src/entry/common/sendAway/sendAwayShare.ts
+++ b/src/entry/common/sendAway/sendAwayShare.ts
@@ -7,7 +7,7 @@
  * being worth it instead of swinging about that point.
  */
 
-import type { SendAwayFigures } from '../scheduling/policy';
+import type { SendAwayParameters } from '../scheduling/policy';
 
 /** A gap between decisions longer than this counts as this much, in milliseconds. */
 const longestGapMs = 1_000;
@@ -17,7 +17,7 @@
 	private share = 0;
 	private updatedMs: number | undefined;
 
-	constructor(private readonly figures: SendAwayFigures) {}
+	constructor(private readonly figures: SendAwayParameters) {}
 
 	/** Takes in what sending a request would save now beyond the margin (negative: cost) and gives the share. */
 	update(savingMs: number, nowMs: number): number {
--- a/src/entry/common/sendAway/test/costedSendAway.test.ts
+++ b/src/entry/common/sendAway/test/costedSendAway.test.ts
@@ -1,6 +1,6 @@
 import { SeededRandom } from '../../../../base/common/random';
 import type { InstanceId, RegionName } from '../../../../core/ids/common/ids';
-import { defaultSendAwayFigures } from '../../scheduling/policy';
+import { defaultSendAwayParameters } from '../../scheduling/policy';
 import { createRequest } from '../../scheduling/test/fixtures';
 import { SendAwayPolicy } from '../costedSendAway';
 import type { RemoteOffer, SendAwayQuestion } from '../sendAwayPolicy';
@@ -66,7 +66,7 @@
 	// Offers lag by seconds. Were all requests sent as soon as it pays, the other region would be overrun before
 	// its next offer says so, and all would turn back at once.
 	it('raises the share slowly and takes it back slowly', () => {
-		const figures = { ...defaultSendAwayFigures, firstStep: 10_000 };
+		const figures = { ...defaultSendAwayParameters, firstStep: 10_000 };
 		const sends = countSends(new SendAwayPolicy(new SeededRandom(1), figures), 40, nowMs =>
 			createQuestion(nowMs < 20_000 ? 5_000 : 0, nowMs, [createOffer()]),
 		);
--- a/src/entry/common/sendAway/test/reliefPolicy.test.ts
+++ b/src/entry/common/sendAway/test/reliefPolicy.test.ts
@@ -28,7 +28,7 @@
 			prefixKey: undefined,
 			bodyBytes: 800,
 			isRepeatable: false,
-			work: { dueMs: 600, urgency: 0, prompt: undefined, mostAttempts: 1, isResumable: false },
+			work: { dueMs: 600, urgency: 0, prompt: undefined, maxAttempts: 1, isResumable: false },
 		},
 		localRoom: { waitMs, freeSlots: 0, running: 0, queued: 0, unloadedMs: 80 },
 		offers: [createOffer('montego-1', 10)],
--- a/src/entry/common/workScheduling/test/engineWorld.ts
+++ b/src/entry/common/workScheduling/test/engineWorld.ts
@@ -129,7 +129,7 @@
 		prefixKey: undefined,
 		bodyBytes: 100,
 		isRepeatable: false,
-		work: { dueMs: nowMs + aimMs, urgency, prompt, mostAttempts: 1, isResumable: false },
+		work: { dueMs: nowMs + aimMs, urgency, prompt, maxAttempts: 1, isResumable: false },
 	};
 }
 
--- a/src/entry/common/workScheduling/workScheduler.ts
+++ b/src/entry/common/workScheduling/workScheduler.ts
@@ -328,7 +328,7 @@
 		if (end === AttemptEnd.Answered || end === AttemptEnd.Cancelled) {
 			return false;
 		}
-		const mostAttempts = request.work?.mostAttempts ?? 1;
+		const mostAttempts = request.work?.maxAttempts ?? 1;
 		const isRunnable = held.mayHaveRun ? request.isRepeatable && held.runs < mostAttempts : true;
 		const isBegunElsewhere = held.hasFirstByte && request.work?.isResumable !== true;
 		const isSentTooOften = held.tried.length >= mostAttempts + mostRefusedSends;
--- a/src/entry/node/fleet/entryFleet.ts
+++ b/src/entry/node/fleet/entryFleet.ts
@@ -22,7 +22,7 @@
 import type { KnownInstance } from '../../common/fleetView/fleetView';
 import { FleetView } from '../../common/fleetView/fleetView';
 import type { KnownEntry as LookupEntry } from '../../common/lookup/rankEntries';
-import { defaultFleetViewFigures } from '../../common/scheduling/policy';
+import { defaultFleetViewParameters } from '../../common/scheduling/policy';
 import type { IEntryDirectory, KnownEntry } from '../../common/tickets/ticketRoute';
 import type { PeerClients, PeerConnection } from '../peers/peerClients';
 import type { EntrySharing } from '../targets/targetDirectory';
@@ -49,7 +49,7 @@
 	readonly callerUrl: string;
 }
 
-const { periodMs } = defaultFleetViewFigures;
+const { periodMs } = defaultFleetViewParameters;
 const exchangeTimeoutMs = 2_000;
 
 /** Holds what is known of the other entries. */
--- a/src/entry/node/requests/schedulableRequest.ts
+++ b/src/entry/node/requests/schedulableRequest.ts
@@ -30,7 +30,7 @@
 		dueMs: arrivedMs + route.firstByteAimMs,
 		urgency: route.priority,
 		prompt,
-		mostAttempts: route.attempts,
+		maxAttempts: route.attempts,
 		isResumable: route.isResumable,
 	};
 }
