--- a/src/entry/common/scheduling/admission.ts
+++ b/src/entry/common/scheduling/admission.ts
@@ -1,13 +1,13 @@
 /**
- * Whether a request is let into the queue, and whether it may stay there. Load pattern: a burst of four
- * times the capacity, and overload that lasts. Without admission the queue grows until every request in it
- * is too old, and the service works at full speed on answers that nobody waits for any more.
+ * Admission control: whether a request enters the queue and whether it may stay there. In a burst of four
+ * times the capacity, or in sustained overload, an unlimited queue grows until every request in it is too old,
+ * and the service works at full speed on answers that nobody waits for any more.
  *
- * What cannot be answered in time is refused when it arrives, or at the check of the queue after the reason
- * arose (a target was lost, more urgent work came in). Only a part of the time that a request has beside
- * its run may go into waiting: the rest absorbs errors of the prediction, and callers who are admitted wait
- * no longer than is needed to keep the targets busy. Measured at 1.5 times the capacity, half instead of
- * 0.3 raised the median of questions from 1.7 to 2.6 s and answered 2% more of them.
+ * A request that can't be answered in time is refused on arrival, or at the next check of the queue after the
+ * situation changed (a target was lost, more urgent work arrived). Only a part of the time that remains beside
+ * the run may be spent waiting. The rest absorbs prediction errors, and admitted callers wait no longer than
+ * is needed to keep the targets busy. At 1.5 times the capacity, a part of one half instead of 0.3 raised the
+ * median of questions from 1.7 to 2.6 s and answered 2% more of them.
  */
 
 import { ErrorKind } from '../../../core/errors/common/errorKinds';
@@ -18,13 +18,13 @@
 import type { WaitPredictor } from './waitPredictor';
 import type { WorkEstimator } from './workEstimator';
 
-/** Why a request is not let in. */
+/** The reason for which a request is refused on arrival. */
 export interface AdmissionRefusal {
 	readonly kind: ErrorKind;
 	readonly detail: string;
 }
 
-/** Admits for one service. */
+/** Admission control of one service. */
 export class Admission {
 	constructor(
 		private readonly policy: AdmissionPolicy,
@@ -34,17 +34,20 @@
 		private readonly predictor: WaitPredictor,
 	) {}
 
-	/** Why an arriving request cannot be taken in, or undefined where it can. */
+	/** Returns the reason to refuse an arriving request, or undefined if the request is admitted. */
 	findRefusal(request: SchedulableRequest, nowMs: number): AdmissionRefusal | undefined {
 		const lane = this.lanes.getLane(request.requestClass);
 		if (this.pool.targets.length === 0) {
-			return { kind: ErrorKind.NoTarget, detail: 'no target is in use' };
+			return { kind: ErrorKind.NoTarget, detail: 'no target accepts new requests' };
 		}
 		if (this.pool.isDown(nowMs)) {
 			return { kind: ErrorKind.NoTarget, detail: 'every target is paused after failed attempts' };
 		}
 		if (lane.queue.countQueued(request.organisation) >= this.policy.maxQueued - this.lanes.size) {
-			return { kind: ErrorKind.Overloaded, detail: `${this.lanes.size} requests wait` };
+			return {
+				kind: ErrorKind.Overloaded,
+				detail: `the queue is full: ${this.lanes.size} requests are waiting`,
+			};
 		}
 		if (this.isIdle(lane)) {
 			return request.deadlineMs > nowMs ? undefined : createDeadlineRefusal(0, 0, 0);
@@ -52,27 +55,35 @@
 		return this.findTimeRefusal(lane, request, nowMs);
 	}
 
-	/** Predicted wait of a request that arrives now; all the time it has where it would be refused. */
+	/**
+	 * Returns the predicted wait of a request that arrives now, or its whole remaining time if it would be
+	 * refused.
+	 */
 	estimateWait(request: SchedulableRequest, nowMs: number): number {
-		const leftMs = Math.max(0, request.deadlineMs - nowMs);
+		const timeLeftMs = Math.max(0, request.deadlineMs - nowMs);
 		if (this.findRefusal(request, nowMs) !== undefined) {
-			return leftMs;
+			return timeLeftMs;
 		}
 		const { organisation, requestClass, organisationWeight: weight = 1 } = request;
-		return this.predictor.estimateWait(this.lanes.getLane(requestClass), organisation, weight, leftMs);
+		return this.predictor.estimateWait(this.lanes.getLane(requestClass), organisation, weight, timeLeftMs);
 	}
 
-	/** Whether a waiting request, served after `aheadMs` of work, can still be answered in time. */
-	isDeadlineReachable(lane: ClassLane, request: SchedulableRequest, aheadMs: number, nowMs: number): boolean {
-		const leftMs = request.deadlineMs - nowMs;
+	/** Whether a waiting request that is served after `workAheadMs` of work can still be answered in time. */
+	isDeadlineReachable(
+		lane: ClassLane,
+		request: SchedulableRequest,
+		workAheadMs: number,
+		nowMs: number,
+	): boolean {
+		const timeLeftMs = request.deadlineMs - nowMs;
 		if (lane.running === 0 && lane.queue.size === 1) {
-			return leftMs > 0;
+			return timeLeftMs > 0;
 		}
 		const runMs = this.estimateRun(request);
-		return this.predictor.estimateWaitAfter(lane, aheadMs, leftMs) + runMs <= leftMs;
+		return this.predictor.estimateWaitAfter(lane, workAheadMs, timeLeftMs) + runMs <= timeLeftMs;
 	}
 
-	/** Whether a request that could start now would end in time. */
+	/** Whether a request that starts now is expected to end before its deadline. */
 	isStartable(lane: ClassLane, request: SchedulableRequest, nowMs: number): boolean {
 		const runMs = this.isIdle(lane) ? 0 : this.estimateRun(request);
 		return nowMs + runMs < request.deadlineMs;
@@ -84,27 +95,30 @@
 		nowMs: number,
 	): AdmissionRefusal | undefined {
 		const { organisation, organisationWeight: weight = 1 } = request;
-		const leftMs = request.deadlineMs - nowMs;
+		const timeLeftMs = request.deadlineMs - nowMs;
 		const runMs = this.estimateRunWithMargin(request);
-		const waitMs = this.predictor.estimateWait(lane, organisation, weight, leftMs);
-		const spareMs = leftMs - runMs;
+		const waitMs = this.predictor.estimateWait(lane, organisation, weight, timeLeftMs);
+		const spareMs = timeLeftMs - runMs;
 		if (spareMs > 0 && waitMs <= spareMs * lane.policy.waitShare) {
 			return undefined;
 		}
 		if (lane.queue.isOverShare(organisation)) {
-			const detail = `its own requests make it wait ${Math.round(waitMs)} ms`;
+			const detail = `the organisation exceeds its share of the queue, predicted wait ${Math.round(waitMs)} ms`;
 			return { kind: ErrorKind.OrganisationOverShare, detail };
 		}
-		if (waitMs + runMs > leftMs) {
-			return createDeadlineRefusal(waitMs, runMs, leftMs);
+		if (waitMs + runMs > timeLeftMs) {
+			return createDeadlineRefusal(waitMs, runMs, timeLeftMs);
 		}
-		return { kind: ErrorKind.Overloaded, detail: `the wait would be ${Math.round(waitMs)} ms` };
+		return {
+			kind: ErrorKind.Overloaded,
+			detail: `predicted wait of ${Math.round(waitMs)} ms exceeds the allowed part of the time left`,
+		};
 	}
 
 	/**
-	 * While nothing of a class waits or runs, one request is let through whatever the estimate says. Without
-	 * this, one spell of slow answers could raise the estimate above every deadline; then all are refused,
-	 * no run ever corrects the estimate, and the class stays refused for good.
+	 * Whether no request of the class waits or runs. In this state one request is admitted whatever the
+	 * estimate. Otherwise a period of slow answers could raise the estimate above every deadline, all requests
+	 * of the class would be refused, and no run would ever correct the estimate.
 	 */
 	private isIdle(lane: ClassLane): boolean {
 		return lane.running === 0 && lane.queue.size === 0;
@@ -120,7 +134,10 @@
 	}
 }
 
-function createDeadlineRefusal(waitMs: number, runMs: number, leftMs: number): AdmissionRefusal {
-	const times = [waitMs, runMs, leftMs].map(Math.round).join(' + ');
-	return { kind: ErrorKind.DeadlineUnreachable, detail: `wait + run + time left in ms: ${times}` };
+function createDeadlineRefusal(waitMs: number, runMs: number, timeLeftMs: number): AdmissionRefusal {
+	const times = [waitMs, runMs, timeLeftMs].map(Math.round).join(', ');
+	return {
+		kind: ErrorKind.DeadlineUnreachable,
+		detail: `predicted wait, predicted run and time left in ms: ${times}`,
+	};
 }
--- a/src/entry/common/scheduling/attempt.ts
+++ b/src/entry/common/scheduling/attempt.ts
@@ -1,5 +1,5 @@
 /**
- * A request that the scheduler holds, waiting or running, and what its attempts have come to.
+ * The state of a request in the scheduler, waiting or running, and of its attempts.
  */
 
 import { ErrorKind } from '../../../core/errors/common/errorKinds';
@@ -9,29 +9,29 @@
 import { AttemptEnd } from './serviceScheduler';
 import type { PooledTarget } from './targetPool';
 
-/** The attempt that runs. */
+/** The running attempt of a request. */
 export interface RunningAttempt {
 	readonly target: PooledTarget;
 	readonly startedMs: number;
 	readonly expectedMs: number;
 	readonly isTrial: boolean;
-	/** It holds the target's one place for requests that must run apart. */
+	/** The request was in flight when a target crashed (see `SchedulableRequest.isKeptApart`). */
 	readonly isCrashSuspect: boolean;
 	hasFirstByte: boolean;
-	/** Its lateness has been noted before its end. */
+	/** The attempt was reported as slow while it was still running. */
 	isOverdue: boolean;
 }
 
-/** A request from its submission to the moment the scheduler forgets it. */
+/** The state of a request from its submission until the scheduler removes it. */
 export interface HeldRequest {
 	readonly request: SchedulableRequest;
-	/** Its place in the queue, while it waits for its first attempt. */
+	/** The queue item, while the request waits for its first attempt. */
 	queued: QueuedRequest | undefined;
 	running: RunningAttempt | undefined;
 	readonly triedTargets: TargetId[];
-	/** Some attempt may have run. Never taken back: a later refusal must not tell the caller otherwise. */
+	/** Whether any attempt may have run. Never reset, so that a later refusal isn't reported as `not-run`. */
 	mayHaveRun: boolean;
-	/** Why the last attempt failed, or the first one that may have run. */
+	/** Error of the first attempt that may have run, or else of the last attempt. */
 	fault: ErrorKind | undefined;
 }
 
@@ -45,12 +45,12 @@
 	[AttemptEnd.Silent]: ErrorKind.TargetSilent,
 };
 
-/** Whether an attempt that ended so cannot have run. */
+/** Whether an attempt with this end can't have run at the target. */
 export function isNotRun(end: AttemptEnd): boolean {
 	return end === AttemptEnd.TargetRefused || end === AttemptEnd.NotConnected;
 }
 
-/** Notes a failed attempt on its request. */
+/** Adds a failed attempt to the state of its request. */
 export function recordFailure(held: HeldRequest, target: TargetId, end: AttemptEnd): void {
 	held.triedTargets.push(target);
 	if (!held.mayHaveRun) {
--- a/src/entry/common/scheduling/attemptObserver.ts
+++ b/src/entry/common/scheduling/attemptObserver.ts
@@ -1,6 +1,6 @@
 /**
- * What the scheduler learns from attempts: run times, the speed and health of targets, charges for work
- * that was estimated wrongly, and what successes add to the retry budget.
+ * Updates the scheduler's statistics from attempts: run times, speed and health of targets, corrections of
+ * wrongly estimated work, and the retries earned by successes.
  */
 
 import type { HeldRequest, RunningAttempt } from './attempt';
@@ -12,7 +12,7 @@
 import type { TargetPool } from './targetPool';
 import type { WorkEstimator } from './workEstimator';
 
-/** Learns for one service. */
+/** Updates the statistics of one service from its attempts. */
 export class AttemptObserver {
 	constructor(
 		private readonly policy: OutlierPolicy,
@@ -22,7 +22,7 @@
 		private readonly budget: RetryBudget,
 	) {}
 
-	/** An attempt starts: its slot is taken. */
+	/** Records the start of an attempt and takes its slot. */
 	noteStart(held: HeldRequest, attempt: RunningAttempt, nowMs: number): void {
 		const lane = this.lanes.getLane(held.request.requestClass);
 		const { use, id } = attempt.target;
@@ -37,14 +37,14 @@
 		this.pool.updateFree(attempt.target, nowMs);
 	}
 
-	/** The answer began, so the target is alive. */
+	/** Records the first byte of an answer, which shows that the target works. */
 	noteFirstByte(attempt: RunningAttempt, nowMs: number): void {
 		attempt.hasFirstByte = true;
 		this.pool.clearFailures(attempt.target.use);
 		this.pool.updateFree(attempt.target, nowMs);
 	}
 
-	/** An attempt ended: its slot is free. */
+	/** Records the end of an attempt and frees its slot. */
 	noteEnd(held: HeldRequest, attempt: RunningAttempt, end: AttemptEnd, nowMs: number): void {
 		const { requestClass, organisation } = held.request;
 		const { use, id } = attempt.target;
@@ -67,7 +67,10 @@
 		this.pool.updateFree(attempt.target, nowMs);
 	}
 
-	/** A run that is far beyond its time is told of before its end: on a slow target the end is late news. */
+	/**
+	 * Reports a run that far exceeds its expected time as slow before it ends, since runs on a slow target
+	 * end late.
+	 */
 	noteOverdue(attempt: RunningAttempt, nowMs: number): void {
 		const ranMs = nowMs - attempt.startedMs;
 		if (!attempt.isOverdue && ranMs > attempt.expectedMs * this.policy.overdueFactor) {
@@ -85,7 +88,10 @@
 		}
 	}
 
-	/** A run that was cut off would have lasted longer still; dropping it would keep the estimate too low. */
+	/**
+	 * Records an interrupted run as a lower bound of its duration. Ignoring it would keep the estimate too
+	 * low.
+	 */
 	private recordInterruptedRun(held: HeldRequest, attempt: RunningAttempt, ranMs: number): void {
 		const { requestClass, organisation } = held.request;
 		this.estimator.recordRun(organisation, requestClass, ranMs);
@@ -111,7 +117,7 @@
 				return;
 			case AttemptEnd.Silent:
 			case AttemptEnd.Cancelled:
-				// One silent connection or an impatient caller says nothing of new connections to the target.
+				// A silent connection or a caller that left doesn't show whether new connections to the target work.
 				return;
 		}
 	}
--- a/src/entry/common/scheduling/classLanes.ts
+++ b/src/entry/common/scheduling/classLanes.ts
@@ -1,9 +1,9 @@
 /**
- * One fair queue for each class, and the order between them. Load pattern: long drafts among short
- * questions. A strict order would starve drafts for as long as questions alone fill the service; no order
- * would let a question wait for drafts. The classes share by work as the organisations do: a class that
- * takes less than its part is served as soon as it asks, which is the ordinary state of questions, and one
- * that asks for more keeps to its part while others wait.
+ * The fair queues of the request classes and the order in which they are served. With strict priority, long
+ * requests of the draft class would starve for as long as short questions of the urgent class fill the service.
+ * Without priority, a question would wait for long drafts. Classes therefore share the service by work and weight, as organisations do within a class. A class
+ * that uses less than its part is served immediately, which is normal for questions. A class that requests
+ * more is limited to its part while other classes wait.
  */
 
 import type { OrganisationName } from '../../../core/ids/common/ids';
@@ -12,27 +12,28 @@
 import type { QueuedRequest } from './fairQueue';
 import type { ClassPolicy } from './policy';
 
-/** Times in which the means of running requests follow 63% of a change, in milliseconds. */
+/** Time constants of the means, in milliseconds: after this time a mean has followed 63% of a change. */
 const shortWindowMs = 1_000;
 const longWindowMs = 20_000;
 /**
- * Square roots of the mean demand of the more urgent classes that are kept free beside it. Measured: with 2
- * drafts are refused at 0.8 of the capacity, with 1 questions wait 5% longer among drafts.
+ * Slots kept free beyond the mean demand of more urgent classes, in multiples of its square root. With a
+ * factor of 2, drafts are refused at 0.8 of the capacity. With a factor of 1, questions wait 5% longer when
+ * drafts run.
  */
 const demandReserveFactor = 1.5;
 
-/** The queue of one class and what of the class runs. */
+/** The queue and the running attempts of one request class. */
 export class ClassLane {
 	readonly queue = new FairQueue();
-	/** Attempts that run now. */
+	/** Number of running attempts. */
 	running = 0;
-	/** Means of `running` over the last second and the last twenty. */
+	/** Means of `running` over 1 second and over 20 seconds. */
 	private shortRunning = 0;
 	private longRunning = 0;
-	/** The same of all that runs or waits. */
+	/** Means of running and waiting requests over the same times. */
 	private shortDemand = 0;
 	private longDemand = 0;
-	/** Work served, divided by the weight of the class. */
+	/** Virtual start time of the lane: work served, divided by the weight of the class. */
 	startTag = 0;
 
 	constructor(
@@ -40,17 +41,17 @@
 		readonly policy: ClassPolicy,
 	) {}
 
-	/** Requests of the class that run at a time; the greater mean, so that a lull is not taken for the rule. */
+	/** Mean number of running requests. The larger of both means, so that a short lull doesn't lower it. */
 	get meanRunning(): number {
 		return Math.max(this.shortRunning, this.longRunning);
 	}
 
-	/** Requests that run or wait, likewise. */
+	/** Mean number of running and waiting requests, the larger of both means. */
 	get meanDemand(): number {
 		return Math.max(this.shortDemand, this.longDemand);
 	}
 
-	/** Follows the means. */
+	/** Updates the means with the current counts. */
 	updateMeans(shortWeight: number, longWeight: number): void {
 		const demand = this.running + this.queue.size;
 		this.shortRunning += shortWeight * (this.running - this.shortRunning);
@@ -60,7 +61,7 @@
 	}
 }
 
-/** The lanes of one service, the most urgent first. */
+/** The lanes of one service, most urgent class first. */
 export class ClassLanes {
 	readonly lanes: readonly ClassLane[];
 	private readonly byClass: ReadonlyMap<RequestClass, ClassLane>;
@@ -71,12 +72,12 @@
 		this.byClass = new Map(this.lanes.map(lane => [lane.requestClass, lane]));
 	}
 
-	/** Requests that wait in all lanes. */
+	/** Number of waiting requests in all lanes. */
 	get size(): number {
 		return this.lanes.reduce((sum, lane) => sum + lane.queue.size, 0);
 	}
 
-	/** Requests that run, of all lanes. */
+	/** Number of running requests of all lanes. */
 	get running(): number {
 		return this.lanes.reduce((sum, lane) => sum + lane.running, 0);
 	}
@@ -84,7 +85,7 @@
 	getLane(requestClass: RequestClass): ClassLane {
 		const lane = this.byClass.get(requestClass);
 		if (lane === undefined) {
-			throw new Error(`no class ${requestClass}`);
+			throw new Error(`unknown request class ${requestClass}`);
 		}
 		return lane;
 	}
@@ -97,7 +98,7 @@
 		lane.queue.push(item, item.request.organisationWeight ?? 1);
 	}
 
-	/** The lane to serve next among those that `canServe` lets through, or undefined. */
+	/** Returns the lane to serve next among those for which `canServe` returns true. */
 	pickLane(canServe: (lane: ClassLane) => boolean): ClassLane | undefined {
 		let best: ClassLane | undefined;
 		for (const lane of this.lanes) {
@@ -109,11 +110,12 @@
 	}
 
 	/**
-	 * Slots of `totalSlots` that a lane may hold at a time. A lane with a reserve leaves free what the more
-	 * urgent ones need: their mean demand and a part for its swings, no less than the reserve, and no more
-	 * than the weights leave over. Demand of independent callers swings by its square root; the swings of
-	 * several entries make up for each other in part, so `meanShare`, this entry's part of the targets, counts
-	 * by its own root. A lane without a reserve is bounded by the targets alone.
+	 * Returns how many of `totalSlots` a lane may use at a time. A lane with a reserve leaves slots free for
+	 * more urgent lanes: their mean demand plus a margin for fluctuations, at least the reserve, but never so
+	 * many that the lane falls below its part by weight. The demand of independent callers fluctuates by its
+	 * square root. Fluctuations at several entries partly cancel out, so the margin also depends on the square
+	 * root of `meanShare`, this entry's part of the targets. A lane without a reserve is limited only by the
+	 * targets.
 	 */
 	computeSlotLimit(lane: ClassLane, totalSlots: number, meanShare: number): number {
 		const { weight, reservedShare } = lane.policy;
@@ -134,8 +136,8 @@
 	}
 
 	/**
-	 * Work that the other lanes are served before the turn of this one, while they have requests waiting: a
-	 * lane that was just served a long request waits until the others have had their part.
+	 * Returns the work of other lanes with waiting requests that is served before this lane. After a long
+	 * request of this lane, other lanes are served first until they have received their part.
 	 */
 	computeWorkAhead(lane: ClassLane): number {
 		let weights = 0;
@@ -145,20 +147,20 @@
 		return Math.max(0, lane.startTag - this.virtualTime) * weights;
 	}
 
-	/** Charges a lane for work that it has been served. */
+	/** Charges a lane for a started request. */
 	recordServed(lane: ClassLane, workMs: number): void {
 		this.virtualTime = Math.max(this.virtualTime, lane.startTag);
 		lane.startTag += workMs / lane.policy.weight;
 	}
 
-	/** Corrects the charges of a request whose run took `differenceMs` more than estimated. */
+	/** Corrects the charges for a request whose run took `differenceMs` longer than estimated. */
 	addCharge(requestClass: RequestClass, organisation: OrganisationName, differenceMs: number): void {
 		const lane = this.getLane(requestClass);
 		lane.startTag = Math.max(0, lane.startTag + differenceMs / lane.policy.weight);
 		lane.queue.addCharge(organisation, differenceMs);
 	}
 
-	/** Follows the mean number of running requests. */
+	/** Updates the means of all lanes. */
 	updateMeans(elapsedMs: number): void {
 		const shortWeight = 1 - Math.exp(-elapsedMs / shortWindowMs);
 		const longWeight = 1 - Math.exp(-elapsedMs / longWindowMs);
--- a/src/entry/common/scheduling/decayingSum.ts
+++ b/src/entry/common/scheduling/decayingSum.ts
@@ -1,5 +1,5 @@
 /**
- * A sum whose parts lose weight as they age, so that it tells the load of late without keeping a history.
+ * A sum whose amounts decay exponentially with age, used to measure recent load without keeping a history.
  */
 
 export class DecayingSum {
@@ -7,7 +7,9 @@
 	private updatedMs = 0;
 
 	constructor(
-		/** Time in which a part loses 63% of its weight, in milliseconds. */
+		/**
+		 * Time constant of the decay, in milliseconds: after this time an amount has lost 63% of its weight.
+		 */
 		private readonly decayMs: number,
 	) {}
 
--- a/src/entry/common/scheduling/fairQueue.ts
+++ b/src/entry/common/scheduling/fairQueue.ts
@@ -1,45 +1,47 @@
 /**
- * Weighted fair queueing over organisations by work (start-time fair queueing). Load pattern: one
- * organisation sends ten times its share. Without it the queue fills with that organisation's requests and
- * all others wait behind them; counting requests instead of work would let few long ones do the same.
+ * Weighted fair queueing of requests by organisation and estimated work (start-time fair queueing). When one
+ * organisation sends ten times its share, a plain queue fills with its requests and all other organisations
+ * wait behind them. Counting requests instead of work would let a few long requests have the same effect.
  *
- * Each organisation has a queue of its own and a tag: the work it has been served, divided by its weight.
- * The organisation with the smallest tag is served next. One that was idle starts at the present virtual
- * time, so that it neither saves up a claim nor pays for the past. The work is charged as estimated when a
- * request leaves the queue and corrected when its run ends.
+ * Each organisation has its own queue and a start tag: the work served to it divided by its weight. The
+ * organisation with the smallest tag is served next. The tag of an organisation that was idle starts at the
+ * current virtual time, so idle time earns no credit and earlier work is not charged again. Work is charged
+ * as estimated when a request leaves the queue, and corrected when its run ends.
  */
 
 import { Heap } from 'heap-js';
 import type { OrganisationName } from '../../../core/ids/common/ids';
 import type { SchedulableRequest } from './serviceScheduler';
 
-/** A request in the queue. */
+/** A queued request. */
 export interface QueuedRequest {
 	readonly request: SchedulableRequest;
-	/** Estimated milliseconds of a slot. */
+	/** Estimated work, in milliseconds of slot time. */
 	readonly workMs: number;
-	/** Left the queue without being taken; it is passed over when its turn comes. */
+	/** Removed from the queue without being taken. `take` skips the item. */
 	isRemoved: boolean;
 }
 
+/** The queued requests of one organisation. */
 interface Flow {
 	readonly organisation: OrganisationName;
 	weight: number;
 	items: QueuedRequest[];
-	/** Index of the first item that has not been taken. */
+	/** Index of the first item that hasn't been taken. */
 	head: number;
 	queuedWorkMs: number;
 	queuedCount: number;
+	/** Virtual time at which the next request of the flow is served. */
 	startTag: number;
-	/** Corrections that join the tag at the next take: the tag of a flow in the heap must stand still. */
+	/** Charges that are added to `startTag` at the next take. The tag of a flow in the heap must not change. */
 	pendingChargeMs: number;
 	isInHeap: boolean;
 }
 
-/** Taken items stay in the array until this many lie before the head, so that a take costs no copy. */
+/** Number of taken items before the array is compacted, so that most takes don't copy the array. */
 const compactionThreshold = 64;
 
-/** The queue of one class. */
+/** Fair queue of one request class. */
 export class FairQueue {
 	private readonly flows = new Map<OrganisationName, Flow>();
 	private readonly flowsByStartTag = new Heap<Flow>((left, right) => left.startTag - right.startTag);
@@ -48,17 +50,17 @@
 	private workMs = 0;
 	private count = 0;
 
-	/** Number of requests that wait. */
+	/** Number of waiting requests. */
 	get size(): number {
 		return this.count;
 	}
 
-	/** Estimated work of all that wait, in milliseconds of a slot. */
+	/** Estimated work of all waiting requests, in milliseconds of slot time. */
 	get queuedWorkMs(): number {
 		return this.workMs;
 	}
 
-	/** Weights of the organisations that have requests waiting, added up. */
+	/** Sum of the weights of all organisations with waiting requests. */
 	get waitingWeight(): number {
 		return this.activeWeight;
 	}
@@ -81,7 +83,7 @@
 		}
 	}
 
-	/** Takes the next request of the organisation that has been served least. */
+	/** Takes the next request of the organisation with the smallest start tag. */
 	take(): QueuedRequest | undefined {
 		for (;;) {
 			const flow = this.flowsByStartTag.pop();
@@ -105,7 +107,7 @@
 		}
 	}
 
-	/** Removes a request that waits; costs nothing to the organisation. */
+	/** Removes a waiting request without charging its organisation. */
 	remove(item: QueuedRequest): void {
 		const flow = this.flows.get(item.request.organisation);
 		if (flow === undefined || item.isRemoved) {
@@ -115,7 +117,7 @@
 		this.noteRemoval(flow, item);
 	}
 
-	/** Charges an organisation for work that was estimated wrongly; a negative amount gives it back. */
+	/** Corrects the charge of an organisation after a wrong estimate. A negative amount is a refund. */
 	addCharge(organisation: OrganisationName, workMs: number): void {
 		const flow = this.flows.get(organisation);
 		if (flow === undefined) {
@@ -128,8 +130,9 @@
 	}
 
 	/**
-	 * The work served before a further request of the organisation would be, in milliseconds of a slot: the
-	 * organisation's own, and what the others are served until its turn, but no more than all that waits.
+	 * Returns the work that is served before a further request of the organisation, in milliseconds of slot
+	 * time: the organisation's own queued work and the work of other organisations that is served first, at
+	 * most all queued work.
 	 */
 	computeWorkAhead(organisation: OrganisationName, weight: number): number {
 		const flow = this.flows.get(organisation);
@@ -141,12 +144,12 @@
 		return Math.min(this.workMs, turns * this.activeWeight);
 	}
 
-	/** Requests of one organisation that wait here. */
+	/** Number of waiting requests of one organisation. */
 	countQueued(organisation: OrganisationName): number {
 		return this.flows.get(organisation)?.queuedCount ?? 0;
 	}
 
-	/** Whether more of an organisation's work waits here than its weight gives it of all that waits. */
+	/** Whether an organisation's part of the queued work exceeds its part by weight. */
 	isOverShare(organisation: OrganisationName): boolean {
 		const flow = this.flows.get(organisation);
 		if (flow === undefined || flow.queuedCount === 0) {
@@ -157,8 +160,8 @@
 	}
 
 	/**
-	 * Walks what waits, each organisation's in its order, with the work served before each; requests that
-	 * the callback wants out are removed.
+	 * Calls `isRemovable` for each waiting request, in order within an organisation, with the work that is
+	 * served before the request, and removes the requests for which it returns true.
 	 */
 	removeWhere(isRemovable: (item: QueuedRequest, workAheadMs: number) => boolean): void {
 		for (const flow of this.flows.values()) {
@@ -197,7 +200,7 @@
 		flow.pendingChargeMs = 0;
 	}
 
-	/** How far an organisation's turn lies ahead, its open charges included. */
+	/** Returns the virtual time until an organisation is served next, pending charges included. */
 	private computeVirtualDelay(flow: Flow): number {
 		return Math.max(0, flow.startTag + flow.pendingChargeMs / flow.weight - this.virtualTime);
 	}
--- a/src/entry/common/scheduling/fifoScheduler.ts
+++ b/src/entry/common/scheduling/fifoScheduler.ts
@@ -1,6 +1,6 @@
 /**
- * First come, first served, to the target with the fewest requests in flight, without admission, fairness
- * or retries. The baseline that every measured scheduler is compared with.
+ * Baseline for the measurements of other schedulers: first in, first out, to the target with the fewest
+ * requests in flight, without admission control, fairness or retries.
  */
 
 import { createRequestError, ErrorKind } from '../../../core/errors/common/errorKinds';
@@ -22,7 +22,7 @@
 	running: number;
 }
 
-/** The baseline scheduler. */
+/** First-in, first-out scheduler that selects the target with the fewest requests in flight. */
 export class FifoScheduler implements IServiceScheduler {
 	private readonly waiting: SchedulableRequest[] = [];
 	private readonly runningOn = new Map<RequestId, TargetId>();
@@ -65,15 +65,15 @@
 	}
 
 	noteEnd(requestId: RequestId): boolean {
-		const use = this.targets.get(this.runningOn.get(requestId) ?? ('' as TargetId));
-		if (use !== undefined) {
-			use.running--;
+		const state = this.targets.get(this.runningOn.get(requestId) ?? ('' as TargetId));
+		if (state !== undefined) {
+			state.running--;
 		}
 		this.runningOn.delete(requestId);
 		return false;
 	}
 
-	/** A target's own failure is passed on. */
+	/** Error answers of a target are forwarded to the caller. */
 	isRetriable(): boolean {
 		return false;
 	}
@@ -91,26 +91,26 @@
 
 	measureRoom(): ServiceRoom {
 		const freeSlots = [...this.targets.values()].reduce(
-			(sum, use) => sum + Math.max(0, use.target.slots * use.target.share - use.running),
+			(sum, state) => sum + Math.max(0, state.target.slots * state.target.share - state.running),
 			0,
 		);
 		return { waitMs: 0, freeSlots, running: this.runningOn.size, queued: this.waiting.length };
 	}
 
 	measureTarget(target: TargetId): TargetRoom {
-		const use = this.targets.get(target);
-		return use === undefined
+		const state = this.targets.get(target);
+		return state === undefined
 			? { running: 0, limit: 0 }
-			: { running: use.running, limit: use.target.slots * use.target.share };
+			: { running: state.running, limit: state.target.slots * state.target.share };
 	}
 
 	private decideFor(request: SchedulableRequest, nowMs: number): ScheduleDecision | undefined {
 		if (request.deadlineMs <= nowMs) {
 			return this.createRefusal(request, ErrorKind.DeadlineUnreachable, 'the deadline passed in the queue');
 		}
-		const usable = [...this.targets.values()].filter(use => !use.target.isLeaving);
+		const usable = [...this.targets.values()].filter(state => !state.target.isLeaving);
 		if (usable.length === 0) {
-			return this.createRefusal(request, ErrorKind.NoTarget, 'no target is in use');
+			return this.createRefusal(request, ErrorKind.NoTarget, 'no target accepts new requests');
 		}
 		const best = this.findLeastLoaded(usable);
 		if (best === undefined) {
@@ -122,14 +122,14 @@
 			kind: ScheduleDecisionKind.Start,
 			requestId: request.id,
 			target: best.target.id,
-			reason: `fewest in flight (${best.running})`,
+			reason: `fewest requests in flight (${best.running})`,
 		};
 	}
 
 	private findLeastLoaded(usable: readonly TargetState[]): TargetState | undefined {
-		const free = usable.filter(use => use.running < Math.max(1, use.target.slots * use.target.share));
+		const free = usable.filter(state => state.running < Math.max(1, state.target.slots * state.target.share));
 		return free.reduce<TargetState | undefined>(
-			(best, use) => (best === undefined || use.running < best.running ? use : best),
+			(best, state) => (best === undefined || state.running < best.running ? state : best),
 			undefined,
 		);
 	}
--- a/src/entry/common/scheduling/freeTargets.ts
+++ b/src/entry/common/scheduling/freeTargets.ts
@@ -1,13 +1,13 @@
 /**
- * The targets that a class of requests may use now, kept up to date as attempts start and end. Walking all
- * targets for each decision costs a quarter of a millisecond at 890 of them, most of all when the service
- * is full and decisions come fastest.
+ * The set of targets that a request class may use now, updated as attempts start and end. Scanning all targets
+ * for each decision takes a quarter of a millisecond with 890 targets, and decisions are most frequent when
+ * the service is full.
  */
 
 import type { IRandom } from '../../../base/common/random';
 import type { TargetId } from '../../../core/ids/common/ids';
 
-/** A set that members can be drawn from at random in constant time. */
+/** A set of targets with random selection, insertion and removal in constant time. */
 export class FreeTargets<TTarget extends { readonly id: TargetId }> {
 	private readonly members: TTarget[] = [];
 	private readonly indexes = new Map<TargetId, number>();
@@ -39,7 +39,7 @@
 		return this.members[random.pickBelow(this.members.length)];
 	}
 
-	/** Puts the last member in the place of the removed one. */
+	/** Removes in constant time: moves the last member to the index of the removed member. */
 	private removeAt(index: number): void {
 		const removed = this.members[index];
 		const last = this.members.pop();
--- a/src/entry/common/scheduling/outlierDetector.ts
+++ b/src/entry/common/scheduling/outlierDetector.ts
@@ -1,22 +1,24 @@
 /**
- * Finds targets that are slow beside their peers. Load pattern: one target of eight answers five times
- * slower, for a while or for good. Without it that target keeps its slots full of late answers and the
- * slowest hundredth of all callers waits for it. A fixed limit would not do: when the whole service is
- * slow, every target would pass it and none would be left.
+ * Detects targets that are slow compared with their peers (outlier ejection). If one target of eight answers
+ * five times slower, temporarily or permanently, its slots otherwise stay full of late answers and the slowest
+ * hundredth of all callers waits for it. A fixed limit on the response time would not work: when the whole
+ * service is slow, it would eject every target.
  *
- * Each run gives one observation, the logarithm of its time over the time expected for its class; a running
- * mean of it is compared with the median of the peers. A slow target is weighed down first. Only far above
- * the median does it get nothing but trial requests, one at a time; by these it comes back. At 2.5 times
- * the median a healthy target is over five deviations of the running mean away, for runs whose times
- * vary by a factor of two; a target that is five times slower is found after ten runs, the fewest that are compared.
+ * Each run gives one observation: the logarithm of the run time divided by the time expected for its class. The
+ * running mean of a target is compared with the median of all targets. A slow target first gets a lower weight.
+ * Far above the median the target is ejected: it gets only trial requests, one at a time, and returns when
+ * these are fast enough. At 2.5 times the median a healthy target is over five deviations of the running mean
+ * away, for run times that vary by a factor of two. A target that is five times slower is detected after ten
+ * runs, the minimum for a comparison.
  */
 
 import type { TargetId } from '../../../core/ids/common/ids';
 import type { OutlierPolicy } from './policy';
 
+/** The observed speed of one target. */
 interface TargetSpeed {
 	observations: number;
-	/** Running mean of the logarithm of slowness. */
+	/** Running mean of the logarithm of the slowness. */
 	meanLog: number;
 	isEjected: boolean;
 	nextTrialMs: number;
@@ -28,7 +30,7 @@
 	return sorted[Math.floor((sorted.length - 1) / 2)] ?? 0;
 }
 
-/** Compares the targets of one service. */
+/** Detects slow targets of one service. */
 export class OutlierDetector {
 	private readonly records = new Map<TargetId, TargetSpeed>();
 	private medianLog = 0;
@@ -56,7 +58,7 @@
 		}
 	}
 
-	/** A run on the target took `ranMs` where `expectedMs` was usual for its class. */
+	/** Records a run that took `ranMs`, where `expectedMs` was expected. */
 	recordRun(id: TargetId, ranMs: number, expectedMs: number): void {
 		const record = this.records.get(id);
 		if (record === undefined || expectedMs <= 0) {
@@ -69,7 +71,7 @@
 		record.meanLog += weight * (slowness - record.meanLog);
 	}
 
-	/** Compares all targets and decides anew which are avoided; called a few times a second. */
+	/** Compares all targets and updates which are ejected. */
 	compare(): void {
 		const compared = [...this.records.values()].filter(
 			record => record.observations >= this.policy.minObservations,
@@ -80,7 +82,7 @@
 		this.ejectedCount = this.countEjected();
 	}
 
-	/** Slowness beside the median, 1 where it is tolerated or unknown. */
+	/** Returns the slowness relative to the median, or 1 if it is tolerated or unknown. */
 	getSlowness(id: TargetId): number {
 		const record = this.records.get(id);
 		if (record === undefined || record.observations < this.policy.minObservations) {
@@ -90,7 +92,7 @@
 		return slowness > this.policy.toleratedSlowness ? slowness : 1;
 	}
 
-	/** Whether any target is avoided. */
+	/** Whether any target is ejected. */
 	hasEjected(): boolean {
 		return this.ejectedCount > 0;
 	}
@@ -99,7 +101,7 @@
 		return this.records.get(id)?.isEjected ?? false;
 	}
 
-	/** Whether an avoided target may be sent a trial request now. */
+	/** Whether a trial request may be sent to an ejected target now. */
 	isTrialDue(id: TargetId, nowMs: number): boolean {
 		const record = this.records.get(id);
 		return record !== undefined && record.isEjected && !record.isOnTrial && nowMs >= record.nextTrialMs;
@@ -136,7 +138,10 @@
 		}
 	}
 
-	/** Avoids the slowest, up to a share of all targets: what is left could not carry the load otherwise. */
+	/**
+	 * Ejects the slowest targets, up to a share of all targets, so that the remaining targets can carry the
+	 * load.
+	 */
 	private markOutliers(compared: readonly TargetSpeed[]): void {
 		const maxEjected = Math.floor(this.records.size * this.policy.maxEjectedShare);
 		let ejected = this.countEjected();
--- a/src/entry/common/scheduling/policy.ts
+++ b/src/entry/common/scheduling/policy.ts
@@ -1,133 +1,146 @@
 /**
- * Every figure of the scheduling decisions, named and in one place. Each module says at its head which load
- * pattern its figures answer; the unit and the ground of a single figure stand beside it here. Grounds are
- * either the firms' sizes (questions of 0.3 s, drafts of 30-60 s, eight slots a target) or a run of
- * `npm run bench`, whose table stands in docs/MEASUREMENTS.md.
+ * All parameters of the scheduling decisions. The head of each module describes the load pattern that its
+ * parameters address. The values follow from typical request sizes (questions of 0.3 s in the urgent class, drafts
+ * of 30-60 s, eight slots per target) or from runs of `npm run bench`, whose results are in docs/MEASUREMENTS.md.
  */
 
 import { RequestClass } from '../../../core/requests/common/requestClass';
 
-/** What a class of requests is given when the service is full. */
+/** Parameters of a request class when the service is full. */
 export interface ClassPolicy {
-	/** Share of a full service relative to the other classes. */
+	/** Weight of the class relative to other classes when the service is full. */
 	readonly weight: number;
-	/** How long a request is taken to run before the first one has been seen, in milliseconds. */
+	/** Assumed run time before the first run was observed, in milliseconds. */
 	readonly initialRunMs: number;
-	/** Part of all slots, in [0, 1), that requests of this class leave free for more urgent ones. */
+	/** Part of all slots, in [0, 1), that this class leaves free for more urgent classes. */
 	readonly reservedShare: number;
 	/**
-	 * The part of the time left beside the predicted run that may be spent waiting. Smaller for the less
-	 * urgent: work that comes in later goes before them, so that their prediction errs further.
+	 * Part of the time left after the predicted run that may be spent waiting. Smaller for less urgent classes:
+	 * later, more urgent requests are served before them, so their predicted wait has a larger error.
 	 */
 	readonly waitShare: number;
 }
 
-/** Figures of the queue and of what is let into it. */
+/** Parameters of admission control and of the queue. */
 export interface AdmissionPolicy {
-	/** Deviations above the mean that a run is taken to last when it is held against a deadline. */
+	/** Number of mean deviations added to the mean run time when it is compared with a deadline. */
 	readonly runDeviations: number;
-	/** Most requests that wait at one entry for one service; bounds memory, the predicted wait comes first. */
+	/**
+	 * Maximum number of requests that wait at one entry for one service. Bounds memory. Requests are
+	 * normally refused earlier because of their predicted wait.
+	 */
 	readonly maxQueued: number;
-	/** Time between two checks of the whole queue against its deadlines, in milliseconds. */
+	/** Time between two checks of all queued requests against their deadlines, in milliseconds. */
 	readonly recheckIntervalMs: number;
 }
 
-/** Figures of the time at which a refused caller is asked to return. */
+/** Parameters of the retry delay (retry-after) of refused callers. */
 export interface RetryAfterPolicy {
+	/** Minimum and maximum delay, including jitter, in milliseconds. */
 	readonly minMs: number;
 	readonly maxMs: number;
-	/** Random part of the time, as a share of it. */
+	/** Width of the random jitter, as a share of the delay. */
 	readonly jitterShare: number;
-	/** Part of the capacity that returning callers are spread over; the rest is for first sends. */
+	/** Part of the capacity that is planned for retries. The rest is for first attempts. */
 	readonly capacityShare: number;
 }
 
-/** Figures of the number of requests that run on one target. */
+/** Parameters of the concurrency limit of a target. */
 export interface LimitPolicy {
-	/** The part of the nominal limit that a target keeps however it behaves. */
+	/** Minimum of the limit, as a part of the nominal limit. */
 	readonly minShare: number;
-	/** Factor on the limit for a sign that the target is over its capacity. */
+	/** Factor on the limit when the target refuses a request because it is full. */
 	readonly decreaseFactor: number;
-	/** Least time between two decreases, in milliseconds: signs of one overload come in bunches. */
+	/** Minimum time between two decreases, in milliseconds, since one overload causes several refusals. */
 	readonly minDecreaseIntervalMs: number;
-	/** Share of the nominal limit given back a second. */
+	/** Part of the nominal limit by which a lowered limit rises per second. */
 	readonly increasePerSecond: number;
-	/** Square roots of this entry's share of a target that short requests may use beyond it. */
+	/**
+	 * Slots that short requests may borrow beyond this entry's share of a target, in multiples of the square
+	 * root of the share.
+	 */
 	readonly borrowFactor: number;
 	/**
-	 * Mean fill of a target by its reports, running and waiting as a part of its slots, up to which this is
-	 * allowed whole, and from which it is not at all.
+	 * Mean reported fill of a target (running and waiting requests as a part of its slots) up to which all of
+	 * this may be borrowed, and from which nothing may be borrowed.
 	 */
 	readonly fullBorrowMaxFill: number;
 	readonly noBorrowMinFill: number;
 }
 
-/** Figures of the choice between targets. */
+/** Parameters of the choice between targets. */
 export interface ChoicePolicy {
 	/**
-	 * A target takes requests for their prefix up to this multiple of the mean load. Below the 1.25 that no
-	 * target should exceed, since work is counted as estimated and each entry sees only its own.
+	 * Multiple of the mean load up to which a target gets requests by prefix affinity. Lower than the 1.25 that
+	 * no target should exceed, because the load is estimated and each entry counts only its own requests.
 	 */
 	readonly maxLoadFactor: number;
-	/** How many targets of a prefix's ranking are asked before load alone decides. */
+	/** Number of ranked targets of a prefix that are considered before the choice depends on load only. */
 	readonly maxAffinityTargets: number;
-	/** Time in which work that was sent to a target loses 63% of its weight in that load, in milliseconds. */
+	/** Time in which work sent to a target loses 63% of its weight in that load, in milliseconds. */
 	readonly loadDecayMs: number;
-	/** Requests beyond the bound that a target takes: the first ones after a lull are no load. */
+	/**
+	 * Number of requests that a target gets beyond that multiple, since the first requests after an idle
+	 * period are no overload.
+	 */
 	readonly loadAllowanceRequests: number;
-	/** Cost of another availability zone, as a share of a full target. */
+	/** Cost of a target in another availability zone, as a part of the load of a full target. */
 	readonly crossZoneCost: number;
 	/**
-	 * Mean runs in which a report of load loses 63% of its weight. What ran when the report was made has
-	 * ended after about one: for independent callers the correlation of the two loads is e^(-age / run).
+	 * Number of mean run times in which a load report loses 63% of its weight. The requests in a report have
+	 * ended after about one run time: for independent callers, the correlation of the reported and the current
+	 * load is e^(-age / run).
 	 */
 	readonly reportDecayRuns: number;
 }
 
-/** Figures of the comparison of targets with their peers. */
+/** Parameters of the detection of slow targets. */
 export interface OutlierPolicy {
-	/** Weight of one observation in a target's running mean of the logarithm of its slowness. */
+	/** Weight of one observation in the running mean of the logarithm of a target's slowness. */
 	readonly observationWeight: number;
-	/** The same for an observation of a trial request; few come, so that each counts for more. */
+	/** Weight of an observation from a trial request. Higher, because trial requests are rare. */
 	readonly trialWeight: number;
-	/** Observations before a target is compared. */
+	/** Minimum number of observations before a target is compared. */
 	readonly minObservations: number;
-	/** Slowness beside the median of the peers below which nothing is done. */
+	/** Slowness relative to the median up to which a target is treated as normal. */
 	readonly toleratedSlowness: number;
-	/** Slowness beside the median at which a target gets trial requests only. */
+	/** Slowness relative to the median at which a target is ejected and gets only trial requests. */
 	readonly ejectionSlowness: number;
-	/** Slowness at which an avoided target is used again. */
+	/** Slowness relative to the median at which an ejected target returns to normal use. */
 	readonly recoverySlowness: number;
-	/** Largest part of the targets that is avoided at a time. */
+	/** Maximum part of the targets that is ejected at a time. */
 	readonly maxEjectedShare: number;
-	/** Time between two trial requests to an avoided target, in milliseconds. */
+	/** Time between two trial requests to an ejected target, in milliseconds. */
 	readonly trialIntervalMs: number;
 	/** Time between two comparisons, in milliseconds. */
 	readonly compareIntervalMs: number;
-	/** A running request counts as slow once it has run this multiple of its expected time. */
+	/** Multiple of the expected run time after which a running request is recorded as slow. */
 	readonly overdueFactor: number;
 }
 
-/** Figures of the pauses of targets that refuse or cannot be reached. */
+/** Parameters of the pauses of targets after failed attempts. */
 export interface PausePolicy {
-	/** Pause after the first failed attempt, in milliseconds; doubles with each in a row. */
+	/** Pause after the first failed attempt, in milliseconds. Doubles with each consecutive failure, up to `maxMs`. */
 	readonly initialMs: number;
 	readonly maxMs: number;
-	/** Failed attempts in a row after which waiting for the target's return is no use to a caller. */
+	/**
+	 * Number of consecutive failures from which a paused target counts as down, so that callers don't wait
+	 * for it.
+	 */
 	readonly downAfterFailures: number;
 }
 
-/** Figures of repeated attempts. */
+/** Parameters of retries. */
 export interface RetryPolicy {
-	/** Retries earned by one fresh success. */
+	/** Retries added to the budget by one successful first attempt. */
 	readonly retriesPerSuccess: number;
-	/** Most retries that can be saved up. */
+	/** Maximum number of retries in the budget. */
 	readonly maxSavedRetries: number;
-	/** Attempts of one request, the first included. */
+	/** Maximum number of attempts of one request, including the first. */
 	readonly maxAttempts: number;
 }
 
-/** All figures of one service's scheduler. */
+/** All parameters of one service's scheduler. */
 export interface SchedulingPolicy {
 	readonly classes: Readonly<Record<RequestClass, ClassPolicy>>;
 	readonly admission: AdmissionPolicy;
@@ -180,37 +193,47 @@
 	retry: { retriesPerSuccess: 0.1, maxSavedRetries: 10, maxAttempts: 3 },
 };
 
-/** Figures of sending requests to other regions. */
+/** Parameters of sending requests to other regions. */
 export interface SendAwayParameters {
-	/** Offers older than this are not used, in milliseconds. */
+	/** Maximum age of a usable capacity offer of another region, in milliseconds. */
 	readonly maxOfferAgeMs: number;
-	/** The local wait must exceed the whole cost of sending by this factor and by this time. */
+	/** The local wait must exceed the total cost of sending by this factor and by this time in milliseconds. */
 	readonly marginFactor: number;
 	readonly marginMs: number;
-	/** Saving beyond the margin at which the share changes at its full rate, in milliseconds. */
+	/**
+	 * Saved time beyond the margin at which the share of requests sent away changes at its full rate, in
+	 * milliseconds.
+	 */
 	readonly fullRateSavingMs: number;
-	/** Largest change of the share sent away, a second: a cycle of lagging offers then moves little. */
+	/** Maximum change per second of the share sent away. Limits oscillation, since offers lag. */
 	readonly shareChangePerSecond: number;
-	/** Cost of a region whose caches are cold, in milliseconds. */
+	/** Cost of sending to a region whose caches are cold, in milliseconds. */
 	readonly coldStartMs: number;
-	/** Answered requests after which 63% of that cost is gone, and the time in which it returns. */
+	/**
+	 * Number of answered requests that reduce that cost by 63%, and the time in milliseconds in which the
+	 * effect of an answer decays by 63%.
+	 */
 	readonly warmAfterAnswers: number;
 	readonly cacheDecayMs: number;
 	/**
-	 * Part of the room at an entry, what this sender uses there included, that one sender may use: others
-	 * see the same offer, and it is a second old.
+	 * Part of the free slots at an entry, including those that this sender already uses, that one sender may
+	 * use. Other senders see the same offer, which is a second old.
 	 */
 	readonly maxRoomShare: number;
-	/** Requests in flight to a region at the first step after it was away; each step doubles them. */
+	/**
+	 * Slow start: maximum number of requests in flight to a region that has just become available. Each step
+	 * doubles it.
+	 */
 	readonly firstStep: number;
+	/** Minimum time between two steps of the slow start, in milliseconds. */
 	readonly slowStartStepMs: number;
-	/** A region that has sent no offer for so long starts at the first step again, in milliseconds. */
+	/** Time without an offer after which a region starts at the first step again, in milliseconds. */
 	readonly slowStartAfterSilenceMs: number;
-	/** Part of the link's rate that is used; with the burst below no second exceeds the rate. */
+	/** Part of the link's rate that is used. With the burst below, the rate isn't exceeded in any second. */
 	readonly linkUtilization: number;
-	/** Bytes that may be sent at once beyond that, as a time at the link's rate in milliseconds. */
+	/** Additional burst, as the time in milliseconds that it takes at the link's rate. */
 	readonly linkBurstMs: number;
-	/** Bytes of an answer before the first one has been seen. */
+	/** Assumed size of an answer in bytes before the first answer was observed. */
 	readonly initialAnswerBytes: number;
 }
 
@@ -232,17 +255,20 @@
 	initialAnswerBytes: 4_000,
 };
 
-/** Figures of the ranking that callers are given. */
+/** Parameters of the ranking of entries that callers receive from a lookup. */
 export interface LookupParameters {
-	/** Time in which an entry's room loses 63% of its weight against the mean, in milliseconds. */
+	/**
+	 * Time in which the reported capacity of an entry loses 63% of its weight against the mean, in
+	 * milliseconds.
+	 */
 	readonly roomDecayMs: number;
-	/** Wait that halves an entry's weight, in milliseconds. */
+	/** Predicted wait that halves the weight of an entry, in milliseconds. */
 	readonly halvingWaitMs: number;
-	/** A caller may leave its entry once the weight of that one is below this part of the mean. */
+	/** A caller may be moved from its entry if the weight of the entry is below this part of the mean. */
 	readonly moveBelowShare: number;
-	/** Part of the callers that move at one lookup: all at once would overrun the entry they move to. */
+	/** Part of the callers that are moved at one lookup. Moving all at once would overload the new entry. */
 	readonly moveShare: number;
-	/** Entries named in an answer. */
+	/** Maximum number of entries in an answer. */
 	readonly maxEntries: number;
 }
 
@@ -254,23 +280,29 @@
 	maxEntries: 8,
 };
 
-/** Figures of what entries tell each other. */
+/** Parameters of the exchange of state between entries. */
 export interface FleetViewParameters {
-	/** Bytes a second that a node may spend on views, both directions and both roles together. */
+	/** Bytes per second that a node may use for the exchange, in both directions and both roles together. */
 	readonly bytesPerSecond: number;
-	/** Time between two exchanges that a node begins, in milliseconds. */
+	/** Time between two exchanges that a node starts, in milliseconds. */
 	readonly periodMs: number;
-	/** Parts of the exchanges that go to the own zone and to other zones of the own region. */
+	/** Parts of the exchanges with the node's own availability zone and with other zones of its region. */
 	readonly zoneShare: number;
 	readonly regionShare: number;
-	/** An instance is suspected after this silence, and no sooner than so many of its expected renewals. */
+	/**
+	 * An instance is suspected after this time without news in milliseconds, but not before this number of
+	 * expected renewals.
+	 */
 	readonly suspectAfterMs: number;
 	readonly suspectAfterRenewals: number;
-	/** Failed exchanges in a row after which an instance is suspected whatever others say. */
+	/**
+	 * Consecutive failed exchanges after which an instance is suspected regardless of the reports of other
+	 * entries.
+	 */
 	readonly suspectAfterFailures: number;
-	/** Multiple of the suspicion time after which an instance is forgotten. */
+	/** Multiple of the suspicion time after which an instance is removed. */
 	readonly forgetFactor: number;
-	/** Time in which a room loses 63% of its weight against the mean, in milliseconds. */
+	/** Time in which a reported capacity loses 63% of its weight against the mean, in milliseconds. */
 	readonly roomDecayMs: number;
 }
 
--- a/src/entry/common/scheduling/prefixRanking.ts
+++ b/src/entry/common/scheduling/prefixRanking.ts
@@ -1,8 +1,8 @@
 /**
- * Rendezvous hashing: every entry ranks the targets for a prefix by the same hash, without telling the
- * others, so that requests with one prefix meet the cache that holds it. When a target comes or goes only
- * the prefixes that it ranks first for move. Without it a prefix is computed anew on every target that a
- * request happens to reach, and each cache holds a copy of the same few prefixes.
+ * Rendezvous hashing of prompt prefixes to targets. Every entry computes the same ranking without
+ * coordination, so requests with one prefix reach the target that caches it. When a target is added or
+ * removed, only the prefixes that rank it first move. Without the ranking, a prefix is computed again on every
+ * target that receives one of its requests, and every cache holds a copy of the same few prefixes.
  */
 
 import type { TargetId } from '../../../core/ids/common/ids';
@@ -19,7 +19,10 @@
 	return hash >>> 0;
 }
 
-/** Mixes two hashes so that each bit of either moves half of the bits of the result (murmur3's finish). */
+/**
+ * Combines two hashes so that each input bit affects half of the output bits on average (finalizer of
+ * MurmurHash3).
+ */
 export function computeMixedHash(left: number, right: number): number {
 	let hash = left ^ Math.imul(right, 0x9e3779b1);
 	hash = Math.imul(hash ^ (hash >>> 16), 0x85ebca6b);
@@ -27,13 +30,13 @@
 	return (hash ^ (hash >>> 16)) >>> 0;
 }
 
-/** A target with the hash of its id, computed once. */
+/** A target with the precomputed hash of its id. */
 export interface RankedTarget {
 	readonly id: TargetId;
 	readonly idHash: number;
 }
 
-/** The best targets for a prefix, at most `most` of them, the best first. */
+/** Returns up to `maxTargets` targets with the highest scores for a prefix, best first. */
 export function findBestRanked<TTarget extends RankedTarget>(
 	targets: readonly TTarget[],
 	prefixKey: string,
--- a/src/entry/common/scheduling/refusalBuilder.ts
+++ b/src/entry/common/scheduling/refusalBuilder.ts
@@ -1,5 +1,5 @@
 /**
- * Makes the refusals of one service: which fault a caller is told and when it should come back.
+ * Builds the refusals of one service: the error that the caller receives and its retry delay.
  */
 
 import type { RequestError } from '../../../core/errors/common/errorKinds';
@@ -12,7 +12,7 @@
 import type { WaitPredictor } from './waitPredictor';
 import type { WorkEstimator } from './workEstimator';
 
-/** Refuses for one service. */
+/** Builds the refuse decisions of one service. */
 export class RefusalBuilder {
 	constructor(
 		private readonly lanes: ClassLanes,
@@ -21,13 +21,13 @@
 		private readonly retryAfterPlanner: RetryAfterPlanner,
 	) {}
 
-	/** Refuses a request that no attempt was made for. */
+	/** Builds the refusal of a request for which no attempt was made. */
 	createNotRun(request: SchedulableRequest, kind: ErrorKind, detail: string, nowMs: number): RefuseDecision {
 		const retryAfterMs = this.planRetryAfter(request, nowMs);
 		return createDecision(request, createRequestError(kind, detail, { retryAfterMs }));
 	}
 
-	/** Refuses a request whose attempts failed; it is told as unrun only if none of them can have run. */
+	/** Builds the refusal after failed attempts. The outcome is `not-run` only if no attempt can have run. */
 	createAfterFailedAttempts(held: HeldRequest, detail: string, nowMs: number): RefuseDecision {
 		const { request, mayHaveRun } = held;
 		const retryAfterMs = this.planRetryAfter(request, nowMs);
--- a/src/entry/common/scheduling/reportedLoad.ts
+++ b/src/entry/common/scheduling/reportedLoad.ts
@@ -1,10 +1,10 @@
 /**
- * Reads the load that a target reports in a header of its answers.
+ * Parses the load that a target reports in a header of its answers.
  */
 
 import type { ReportedLoad } from './serviceScheduler';
 
-/** Reads `running/waiting/slots`; anything else is no report. */
+/** Parses `running/waiting/slots`. Returns undefined for a missing or malformed value. */
 export function parseReportedLoad(text: string | undefined): ReportedLoad | undefined {
 	const match = /^(\d{1,6})\/(\d{1,6})\/(\d{1,6})$/.exec(text ?? '');
 	if (match === null) {
--- a/src/entry/common/scheduling/retryAfterPlanner.ts
+++ b/src/entry/common/scheduling/retryAfterPlanner.ts
@@ -1,40 +1,42 @@
 /**
- * When a refused caller is asked to return. Load pattern: callers that resend on refusal. Told nothing, or
- * all the same time, they return together and are refused together again, and the storm outlives its cause.
+ * Computes the retry delay (retry-after) that a refused caller is given. Without a delay, or with the same
+ * delay for all, callers that retry on refusal return together and are refused together again, so the
+ * overload outlasts its cause.
  *
- * Each refused request is given the next place in a plan that fills at a share of the service's capacity,
- * one plan for each organisation, so that the time grows with what was refused before and an organisation
- * far over its share does not push the others' callers back. The jitter parts callers that were refused
- * in one instant and those of several entries, which do not know each other's plans.
+ * Each refused request reserves time in a schedule that assumes a fixed share of the service's capacity for
+ * retries, so the delay grows with the number of earlier refusals. Each organisation has its own schedule, so
+ * an organisation far over its share doesn't delay the callers of other organisations. Jitter separates
+ * callers that are refused at the same instant, and callers of different entries, which don't share their
+ * schedules.
  */
 
 import type { IRandom } from '../../../base/common/random';
 import type { OrganisationName } from '../../../core/ids/common/ids';
 import type { RetryAfterPolicy } from './policy';
 
-/** Time between two counts of the organisations whose callers are to return, in milliseconds. */
+/** Time between two removals of ended schedules, in milliseconds. */
 const purgeIntervalMs = 100;
 
-/** The callers of one organisation that are to return. */
+/** The planned retries of one organisation's refused callers. */
 interface RetrySchedule {
 	readonly weight: number;
-	/** Up to when they fill the organisation's part, in monotonic milliseconds. */
+	/** End of the time already assigned to earlier refusals, in monotonic milliseconds. */
 	bookedUntilMs: number;
 }
 
-/** What a refusal is planned by. */
+/** The properties of a refused request that determine its retry delay. */
 export interface RefusedRequest {
 	readonly organisation: OrganisationName;
-	/** Predicted wait of such a request now, in milliseconds. */
+	/** Wait predicted for such a request at present, in milliseconds. */
 	readonly waitMs: number;
-	/** Its estimated work, in milliseconds of a slot. */
+	/** Estimated time that the request occupies a slot, in milliseconds. */
 	readonly workMs: number;
 	readonly weight: number;
-	/** Slots that serve the class. */
+	/** Number of slots that the request's class can use. */
 	readonly slots: number;
 }
 
-/** Plans the return of one service's refused callers. */
+/** Assigns retry delays to the refused callers of one service. */
 export class RetryAfterPlanner {
 	private readonly schedules = new Map<OrganisationName, RetrySchedule>();
 	private scheduledWeight = 0;
@@ -45,16 +47,16 @@
 		private readonly random: IRandom,
 	) {}
 
-	/** Milliseconds from now. */
+	/** Returns the delay before the caller should retry, in milliseconds. */
 	planDelay(refused: RefusedRequest, nowMs: number): number {
-		const { minMs: leastMs, maxMs: mostMs, capacityShare } = this.policy;
-		const earliestMs = nowMs + Math.max(leastMs, refused.waitMs);
+		const { minMs, maxMs, capacityShare } = this.policy;
+		const earliestMs = nowMs + Math.max(minMs, refused.waitMs);
 		const schedule = this.getSchedule(refused, nowMs);
 		const fairShare = refused.weight / Math.max(refused.weight, this.scheduledWeight);
 		const bookingMs = refused.workMs / (refused.slots * capacityShare * fairShare);
 		const retryAtMs = Math.max(earliestMs, schedule.bookedUntilMs);
-		schedule.bookedUntilMs = Math.min(nowMs + mostMs, retryAtMs + bookingMs);
-		return this.addJitter(Math.min(mostMs, retryAtMs - nowMs));
+		schedule.bookedUntilMs = Math.min(nowMs + maxMs, retryAtMs + bookingMs);
+		return this.addJitter(Math.min(maxMs, retryAtMs - nowMs));
 	}
 
 	private getSchedule({ organisation, weight }: RefusedRequest, nowMs: number): RetrySchedule {
@@ -82,11 +84,14 @@
 		}
 	}
 
-	/** Adds to a short time and takes from the longest one, so that the bound holds and still spreads. */
+	/**
+	 * Adds jitter after the delay, or before it near `maxMs`, so that the bound holds and callers still
+	 * spread out.
+	 */
 	private addJitter(delayMs: number): number {
-		const { maxMs: mostMs, jitterShare } = this.policy;
+		const { maxMs, jitterShare } = this.policy;
 		const spreadMs = delayMs * jitterShare;
-		const startMs = Math.min(delayMs, mostMs - spreadMs);
+		const startMs = Math.min(delayMs, maxMs - spreadMs);
 		return Math.round(startMs + this.random.pickFraction() * spreadMs);
 	}
 }
--- a/src/entry/common/scheduling/retryBudget.ts
+++ b/src/entry/common/scheduling/retryBudget.ts
@@ -1,14 +1,14 @@
 /**
- * The budget of repeated attempts. Load pattern: all targets of a service fail at once. Without a budget
- * each request is then sent as often as its attempts allow, and the targets that are just coming back meet
- * three times the load that they fell under. Retries are paid from a small share of fresh successes: in
- * ordinary times a failed attempt in ten can be repeated, in an outage the savings are spent in a moment
- * and load stays at what callers send.
+ * Retry budget of a service. When all targets of a service fail at once and retries are unlimited, each
+ * request is sent as often as its attempts allow, and recovering targets receive three times the load under
+ * which they failed. Here each successful first attempt earns a fraction of a retry. In normal operation one
+ * failed attempt in ten can be retried. In an outage the saved retries are used up quickly, and the load
+ * stays at the rate at which callers send.
  */
 
 import type { RetryPolicy } from './policy';
 
-/** Counts what retries may still cost, for one service. */
+/** Counts the retries that one service may still make. */
 export class RetryBudget {
 	private savedRetries: number;
 
@@ -16,7 +16,10 @@
 		this.savedRetries = policy.maxSavedRetries;
 	}
 
-	/** A first attempt succeeded. Successes of retries earn nothing, or retries would pay for retries. */
+	/**
+	 * Adds to the budget after a successful first attempt. Successful retries add nothing, or retries would
+	 * fund more retries.
+	 */
 	recordFirstAttemptSuccess(): void {
 		this.savedRetries = Math.min(
 			this.policy.maxSavedRetries,
@@ -24,7 +27,7 @@
 		);
 	}
 
-	/** Pays for one retry, or says that there is nothing left to pay with. */
+	/** Takes one retry from the budget. Returns false if the budget is used up. */
 	takeRetry(): boolean {
 		if (this.savedRetries < 1) {
 			return false;
--- a/src/entry/common/scheduling/retryQueue.ts
+++ b/src/entry/common/scheduling/retryQueue.ts
@@ -1,12 +1,12 @@
 /**
- * Which failed attempts are made again, and the requests that wait for it. Load pattern: a target dies or
- * leaves with requests on it while the others are well. Without retries its callers pay for it; with
- * unlimited ones a request that may have run could run twice, and an outage multiplies the load.
+ * Decides which failed attempts are retried, and holds the requests that wait for a retry. When one target
+ * crashes or leaves while others work, its callers would fail without retries. With unlimited retries, a
+ * request that may have run could run twice, and an outage would multiply the load.
  *
- * An attempt that cannot have run may be made again for any request. One that may have run only if the
- * request is repeatable and no byte of an answer has come. Either only at another target, within the
- * deadline, and while the budget pays. Requests that wait here go before those that were never started:
- * they have waited already.
+ * An attempt that can't have run may be retried for any request. An attempt that may have run is retried only
+ * if the request is repeatable and no byte of an answer was received. Each retry needs another target, time
+ * before the deadline and the budget. Retries are served before requests that have not started, since they
+ * have already waited.
  */
 
 import type { Admission } from './admission';
@@ -18,7 +18,7 @@
 import { AttemptEnd } from './serviceScheduler';
 import type { TargetPool } from './targetPool';
 
-/** The retries of one service. */
+/** The requests of one service that wait for another attempt. */
 export class RetryQueue {
 	private readonly waiting = new Set<HeldRequest>();
 
@@ -30,7 +30,7 @@
 		private readonly budget: RetryBudget,
 	) {}
 
-	/** Requests that wait for another attempt. */
+	/** Number of requests that wait for another attempt. */
 	get size(): number {
 		return this.waiting.size;
 	}
@@ -43,12 +43,15 @@
 		this.waiting.delete(held);
 	}
 
-	/** Takes a request in that waits for a target without another of those that are kept apart. */
+	/** Adds a crash suspect that waits for a target on which no other crash suspect runs. */
 	add(held: HeldRequest): void {
 		this.waiting.add(held);
 	}
 
-	/** Takes a request in whose attempt failed, where the rules and the budget allow another one. */
+	/**
+	 * Adds a request whose attempt failed, if the rules and the budget allow another attempt. Returns whether
+	 * it was added.
+	 */
 	accept(held: HeldRequest, attempt: RunningAttempt, end: AttemptEnd, nowMs: number): boolean {
 		if (!this.isAllowed(held, attempt, end) || !this.isPossible(held, nowMs) || !this.budget.takeRetry()) {
 			return false;
@@ -57,22 +60,22 @@
 		return true;
 	}
 
-	/** Whether there is the time and a target for another attempt. */
-	isPossible({ request, triedTargets: tried }: HeldRequest, nowMs: number): boolean {
+	/** Whether enough time and an untried target remain for another attempt. */
+	isPossible({ request, triedTargets }: HeldRequest, nowMs: number): boolean {
 		const lane = this.lanes.getLane(request.requestClass);
 		return (
 			this.admission.isStartable(lane, request, nowMs) &&
-			this.pool.targets.some(({ id, use }) => !tried.includes(id) && !use.isPaused(nowMs))
+			this.pool.targets.some(({ id, use }) => !triedTargets.includes(id) && !use.isPaused(nowMs))
 		);
 	}
 
 	private isAllowed(
-		{ request, triedTargets: tried }: HeldRequest,
+		{ request, triedTargets }: HeldRequest,
 		attempt: RunningAttempt,
 		end: AttemptEnd,
 	): boolean {
 		const isOver = end === AttemptEnd.Answered || end === AttemptEnd.Cancelled || attempt.hasFirstByte;
-		if (isOver || tried.length >= this.policy.maxAttempts) {
+		if (isOver || triedTargets.length >= this.policy.maxAttempts) {
 			return false;
 		}
 		return isNotRun(end) || request.isRepeatable;
--- a/src/entry/common/scheduling/scheduler.ts
+++ b/src/entry/common/scheduling/scheduler.ts
@@ -1,6 +1,6 @@
 /**
- * The scheduler of one service at one entry: composes admission, fair queues, limits, the choice of targets
- * and retries. It decides nothing by itself; each decision stands in the module that is named for it.
+ * Scheduler of one service at one entry. Combines admission, fair queues, limits, the choice of targets and
+ * retries. Each decision is made in the module of that name.
  */
 
 import type { IRandom } from '../../../base/common/random';
@@ -13,11 +13,11 @@
 import { AttemptObserver } from './attemptObserver';
 import type { ClassLane } from './classLanes';
 import { ClassLanes } from './classLanes';
-import { RetryAfterPlanner } from './retryAfterPlanner';
 import type { QueuedRequest } from './fairQueue';
 import type { SchedulingPolicy } from './policy';
 import { defaultSchedulingPolicy } from './policy';
 import { RefusalBuilder } from './refusalBuilder';
+import { RetryAfterPlanner } from './retryAfterPlanner';
 import { RetryBudget } from './retryBudget';
 import { RetryQueue } from './retryQueue';
 import type {
@@ -36,10 +36,10 @@
 import { WaitPredictor } from './waitPredictor';
 import { WorkEstimator } from './workEstimator';
 
-/** A normal request's wait is told to other regions as if it had this long, in milliseconds. */
+/** Time left that is assumed for a normal request in the wait reported to other regions, in milliseconds. */
 const assumedTimeLeftMs = 10_000;
 
-/** Decides for one service. */
+/** Scheduler of one service at one entry. */
 export class ServiceScheduler implements IServiceScheduler {
 	private readonly lanes: ClassLanes;
 	private readonly pool: TargetPool;
@@ -109,9 +109,9 @@
 		this.queueCheckedMs ??= nowMs;
 		this.startRetries(nowMs);
 		this.startQueued(nowMs);
-		const decided = this.pendingDecisions;
+		const decisions = this.pendingDecisions;
 		this.pendingDecisions = [];
-		return decided;
+		return decisions;
 	}
 
 	getNextDueMs(): number | undefined {
@@ -146,7 +146,7 @@
 		return isRequeued;
 	}
 
-	/** A target's own failure is an answer, and is passed on. */
+	/** Error answers of a target are forwarded to the caller. */
 	isRetriable(): boolean {
 		return false;
 	}
@@ -168,8 +168,8 @@
 	}
 
 	measureTarget(target: TargetId): TargetRoom {
-		const use = this.pool.find(target);
-		return { running: use?.use.running ?? 0, limit: use?.use.limit ?? 0 };
+		const pooled = this.pool.find(target);
+		return { running: pooled?.use.running ?? 0, limit: pooled?.use.limit ?? 0 };
 	}
 
 	measureRoom(nowMs: number, request?: SchedulableRequest): ServiceRoom {
@@ -193,7 +193,11 @@
 				this.retries.remove(held);
 				this.held.delete(held.request.id);
 				this.pendingDecisions.push(
-					this.refusalBuilder.createAfterFailedAttempts(held, 'no time or target for another', nowMs),
+					this.refusalBuilder.createAfterFailedAttempts(
+						held,
+						'no time or no other target left for another attempt',
+						nowMs,
+					),
 				);
 				continue;
 			}
@@ -226,7 +230,10 @@
 		}
 	}
 
-	/** At the head of its queue, a request that is kept apart would hold up all behind it; so it steps aside. */
+	/**
+	 * Moves a crash suspect without a usable target to the retry queue, where it doesn't block the requests
+	 * behind it. Refuses any other request.
+	 */
 	private waitForIsolationOrRefuse(held: HeldRequest, nowMs: number): void {
 		if (held.request.isKeptApart?.() === true) {
 			this.retries.add(held);
@@ -236,8 +243,8 @@
 	}
 
 	private isServable(lane: ClassLane, nowMs: number): boolean {
-		const openSlots = this.lanes.computeSlotLimit(lane, this.pool.totalSlots, this.pool.meanShare);
-		return lane.running < openSlots && this.pool.hasFree(lane.requestClass, nowMs);
+		const slotLimit = this.lanes.computeSlotLimit(lane, this.pool.totalSlots, this.pool.meanShare);
+		return lane.running < slotLimit && this.pool.hasFree(lane.requestClass, nowMs);
 	}
 
 	private takeFrom(lane: ClassLane): HeldRequest | undefined {
@@ -250,9 +257,9 @@
 	}
 
 	private chooseFor(held: HeldRequest, nowMs: number): TargetChoice | undefined {
-		const { request, triedTargets: tried } = held;
+		const { request, triedTargets } = held;
 		const expectedMs = this.estimator.estimate(request.organisation, request.requestClass);
-		return this.chooser.choose({ request, expectedMs, triedTargets: tried }, nowMs);
+		return this.chooser.choose({ request, expectedMs, triedTargets }, nowMs);
 	}
 
 	private start(held: HeldRequest, choice: TargetChoice, nowMs: number): RunningAttempt {
@@ -300,7 +307,10 @@
 		this.pool.update(elapsedMs, this.predictor.estimateMeanRun(), nowMs);
 	}
 
-	/** Refuses what waits and can no longer be answered in time. */
+	/**
+	 * Refuses the waiting requests that can no longer be answered in time, or all of them if no target is
+	 * available.
+	 */
 	private refuseUnservable(nowMs: number): void {
 		const isDown = this.pool.isDown(nowMs);
 		for (const lane of this.lanes.lanes) {
@@ -317,13 +327,15 @@
 	private refuseRemoved(item: QueuedRequest, isDown: boolean, nowMs: number): void {
 		this.held.delete(item.request.id);
 		const kind = isDown ? ErrorKind.NoTarget : ErrorKind.DeadlineUnreachable;
-		const detail = isDown ? 'no target can be reached' : 'its turn would come too late';
+		const detail = isDown
+			? 'no target can be reached'
+			: 'the predicted wait and run exceed the time to the deadline';
 		this.pendingDecisions.push(this.refusalBuilder.createNotRun(item.request, kind, detail, nowMs));
 	}
 
 	private refuseTaken(held: HeldRequest, nowMs: number): void {
 		this.held.delete(held.request.id);
-		const detail = 'the time left is shorter than its run';
+		const detail = 'the time left is shorter than the expected run';
 		this.pendingDecisions.push(
 			this.refusalBuilder.createNotRun(held.request, ErrorKind.DeadlineUnreachable, detail, nowMs),
 		);
--- a/src/entry/common/scheduling/serviceScheduler.ts
+++ b/src/entry/common/scheduling/serviceScheduler.ts
@@ -1,8 +1,8 @@
 /**
- * What stands between a request that has been read and the target that runs it. One scheduler decides for
- * one service at one entry: whom it serves, who waits how long, who is refused, which target is used and
- * whether a failed attempt is made again. It is pure: the entry and the virtual-time target model of the
- * tests drive the same interface, hand the clock in and carry the decisions out.
+ * The interface between the entry and the scheduler of one service. The scheduler decides which requests are
+ * admitted, how long they wait, which requests are refused, which target is used and whether a failed attempt
+ * is retried. It has no side effects: the entry, and the model with virtual time in the tests, pass in the
+ * current time and carry out the decisions.
  */
 
 import type { OrganisationName, RequestId, TargetId, ZoneName } from '../../../core/ids/common/ids';
@@ -10,81 +10,89 @@
 import type { RequestError } from '../../../core/errors/common/errorKinds';
 import type { PromptShape } from '../prompts/promptShape';
 
-/** A request as the scheduler sees it. Times are monotonic milliseconds of this process. */
+/** A request as given to the scheduler. Times are monotonic milliseconds of this process. */
 export interface SchedulableRequest {
 	readonly id: RequestId;
 	readonly organisation: OrganisationName;
 	readonly requestClass: RequestClass;
 	readonly arrivedMs: number;
 	readonly deadlineMs: number;
-	/** Names the prompt prefix shared with other requests, if the caller gave one. */
+	/** Identifies the prompt prefix shared with other requests, if the caller gave one. */
 	readonly prefixKey: string | undefined;
 	readonly bodyBytes: number;
 	/** Whether a second attempt is allowed after the first may have run. */
 	readonly isRepeatable: boolean;
-	/** The organisation's share of a full service relative to others; 1 where left out. */
+	/** Weight of the organisation relative to other organisations when the service is full. Defaults to 1. */
 	readonly organisationWeight?: number;
 	/**
-	 * Whether it was in flight when a target died. At most one such request runs at a target, so that the
-	 * next death is seen by one of them alone; asked each time a target is chosen. Never where left out.
+	 * Whether the request was in flight when a target crashed. Such requests run on separate targets, so that
+	 * the next crash implicates only one of them. Called each time a target is chosen. Defaults to false.
 	 */
 	readonly isKeptApart?: () => boolean;
-	/** What is known of its work and its aims; schedulers that count requests do without. */
+	/** Work and time aim of the request, for schedulers that use them. */
 	readonly work?: RequestWork;
 }
 
-/** What a routed request asks of a target, and by when. */
+/** The work that a routed request causes at a target, and its time aim. */
 export interface RequestWork {
-	/** When the answer, or its first event, is still worth its whole price; monotonic milliseconds. */
+	/** Time until which the answer, or its first event, has its full value, in monotonic milliseconds. */
 	readonly dueMs: number;
 	/** 0 is the most urgent. */
 	readonly urgency: number;
 	readonly prompt: PromptShape | undefined;
-	/** Targets that it may be sent to. */
+	/** Maximum number of targets that the request may be sent to. */
 	readonly maxAttempts: number;
-	/** Whether a stream that broke may go on at another target. */
+	/** Whether an interrupted stream may be resumed at another target. */
 	readonly isResumable: boolean;
 }
 
-/** A target as the manifest and the signs of its life describe it. */
+/** A target as described by the manifest and by its own registration. */
 export interface SchedulableTarget {
 	readonly id: TargetId;
 	readonly zone: ZoneName;
-	/** Whether it stands in this entry's own availability zone. */
+	/** Whether the target is in the availability zone of this entry. */
 	readonly isSameZone: boolean;
-	/** Requests that the target runs at a time, for all entries together. */
+	/** Number of requests that the target runs at a time, for all entries together. */
 	readonly slots: number;
-	/** The share of its slots that this entry may use, in (0, 1]; entries in view divide a target. */
+	/**
+	 * Part of the slots that this entry may use, in (0, 1]. The entries known to each other divide a target.
+	 */
 	readonly share: number;
-	/** Takes no new work; what runs there ends there. */
+	/** Whether the target is draining: it gets no new requests, and running requests end there. */
 	readonly isLeaving: boolean;
-	/** What holds of a target that registered itself. */
+	/** Present if the target registered itself. */
 	readonly registered?: RegisteredState;
 }
 
-/** What a registered target said of its life. */
+/** State that a target reported in its registration. */
 export interface RegisteredState {
-	/** Counts up with each start of the target; what was held of an earlier one is void. */
+	/** Increases with each start of the target. State of an earlier generation is invalid. */
 	readonly generation: number;
-	/** Until when it must be spared, in monotonic milliseconds. */
+	/** End of the warm-up, during which the request rate is limited, in monotonic milliseconds. */
 	readonly coldUntilMs: number;
-	/** Requests a second that it bears until then from all entries; infinite where it bears any. */
+	/**
+	 * Maximum request rate during the warm-up from all entries together, in requests per second. Infinite if
+	 * unlimited.
+	 */
 	readonly coldRequestsPerSecond: number;
-	/** Entries that share it, and the place of this one among them, from 0: they take turns while it is cold. */
+	/**
+	 * Number of entries that share the target, and the index of this entry from 0. The entries take turns
+	 * during the warm-up.
+	 */
 	readonly entries: number;
 	readonly place: number;
-	/** When it will be taken away, in monotonic milliseconds; infinite where nobody has said so. */
+	/** Announced time of removal, in monotonic milliseconds. Infinite if none was announced. */
 	readonly endsMs: number;
-	/** Tokens of prompts that its memory holds; 0 where it caches none. */
+	/** Capacity of the prompt cache in tokens, or 0 without a cache. */
 	readonly cacheTokens: number;
 }
 
-/** What a target last said of itself. */
+/** The load that a target reported. */
 export interface ReportedLoad {
 	readonly running: number;
 	readonly waiting: number;
 	readonly slots: number;
-	/** How old the report was when it arrived, in milliseconds. */
+	/** Age of the report when it arrived, in milliseconds. */
 	readonly ageMs: number;
 }
 
@@ -92,17 +100,17 @@
 export enum AttemptEnd {
 	/** The whole answer was delivered. */
 	Answered = 'answered',
-	/** The target said that it did not run the request. */
+	/** The target answered that it did not run the request. */
 	TargetRefused = 'target-refused',
 	/** No connection could be opened, so no byte reached the target. */
 	NotConnected = 'not-connected',
-	/** The connection broke, or the answer was not of this attempt. */
+	/** The connection broke, or the answer belonged to another attempt. */
 	Failed = 'failed',
-	/** The target answered, with a failure of its own. */
+	/** The target answered with an error of its own. */
 	Erred = 'erred',
-	/** The target was silent for longer than the class allows. */
+	/** The target sent nothing for longer than the class allows. */
 	Silent = 'silent',
-	/** The caller went away or the deadline passed. */
+	/** The caller disconnected or the deadline passed. */
 	Cancelled = 'cancelled',
 }
 
@@ -111,20 +119,25 @@
 	Refuse = 'refuse',
 }
 
-/** Send the request to this target now. */
+/** Decision to send the request to a target now. */
 export interface StartDecision {
 	readonly kind: ScheduleDecisionKind.Start;
 	readonly requestId: RequestId;
 	readonly target: TargetId;
-	/** For `anvilroadctl explain`: why this target. */
+	/** Reason for the choice of the target, shown by `anvilroadctl explain`. */
 	readonly reason: string;
-	/** Its aim is missed already, so it gives way at the target to those that can be in time. */
+	/**
+	 * Whether the request already misses its time aim and is queued at the target behind requests that can
+	 * meet theirs.
+	 */
 	readonly isDeferred?: boolean;
-	/** A target that holds the shared part of the prompt, which this one should fetch from it. */
+	/**
+	 * Another target that caches the shared part of the prompt, from which the chosen target should fetch it.
+	 */
 	readonly fetchFrom?: TargetId;
 }
 
-/** Answer the request now with this fault; the scheduler has forgotten it. */
+/** Decision to answer the request with an error now. The scheduler has removed the request. */
 export interface RefuseDecision {
 	readonly kind: ScheduleDecisionKind.Refuse;
 	readonly requestId: RequestId;
@@ -133,58 +146,67 @@
 
 export type ScheduleDecision = StartDecision | RefuseDecision;
 
-/** What this entry could do for a further request of the service. */
+/** Capacity of this entry for a further request of the service. */
 export interface ServiceRoom {
 	/**
-	 * Predicted wait of a normal request that arrives now, or of the request that was asked for. One that
-	 * would be refused waits for all the time it has: it is never served here.
+	 * Predicted wait of the given request, or of a normal request that arrives now. If the request would be
+	 * refused, the wait is its whole remaining time.
 	 */
 	readonly waitMs: number;
 	readonly freeSlots: number;
 	readonly running: number;
 	readonly queued: number;
-	/** Requests of all entries that run at one target on average, where that is known. */
+	/** Mean number of running requests per target, of all entries, if known. */
 	readonly runningPerTarget?: number;
-	/** Reading of the request's prompt at the target that would be chosen for it, in milliseconds. */
+	/** Estimated prefill time of the request's prompt at the target that would be chosen, in milliseconds. */
 	readonly readingMs?: number;
-	/** Time to the first byte at an idle target that holds none of the request's prompt, where that is known. */
+	/**
+	 * Time to the first byte at an idle target that caches no part of the prompt, in milliseconds, if known.
+	 */
 	readonly unloadedMs?: number;
-	/** Whether a target here is believed to hold the part of the request's prompt that others share. */
+	/** Whether a target is expected to cache the part of the prompt that is shared with other requests. */
 	readonly holdsSharedPart?: boolean;
 }
 
-/** What this entry uses of one target. */
+/** Use of one target by this entry. */
 export interface TargetRoom {
-	/** Attempts of this entry that run there. */
+	/** Number of running attempts of this entry. */
 	readonly running: number;
-	/** How many may run there at present. */
+	/** Number of attempts that may run at present. */
 	readonly limit: number;
 }
 
-/** Decides for one service; every method takes the present time and none blocks. */
+/** Scheduler of one service. Methods take the current time as a parameter and never block. */
 export interface IServiceScheduler {
-	/** Replaces the targets; requests running on a target that is gone keep running. */
+	/** Replaces the list of targets. Requests that run on a removed target keep running. */
 	setTargets(targets: readonly SchedulableTarget[], nowMs: number): void;
-	/** Takes a request in; whether it waits, starts or is refused is told by the next `advance`. */
+	/** Adds a request. The next `advance` starts, queues or refuses it. */
 	submit(request: SchedulableRequest, nowMs: number): void;
-	/** Decides what can be decided now. Call after every other method, and at `getNextDueMs`. */
+	/**
+	 * Returns the decisions that can be made now. Call after every other method and at the time of
+	 * `getNextDueMs`.
+	 */
 	advance(nowMs: number): readonly ScheduleDecision[];
-	/** When `advance` must be called though nothing happens, or undefined. */
+	/**
+	 * Returns the time at which `advance` must be called even without other events, or undefined if not
+	 * needed.
+	 */
 	getNextDueMs(): number | undefined;
-	/** The first byte of the running attempt's answer arrived. */
+	/** Records the first byte of the answer to the running attempt. */
 	noteFirstByte(requestId: RequestId, nowMs: number): void;
 	/**
-	 * The running attempt ended. Gives true where the request was taken back for another attempt, which the
-	 * next `advance` starts or refuses; false where the scheduler has forgotten the request.
+	 * Records the end of the running attempt. Returns true if the request is queued for another attempt, which
+	 * a later `advance` starts or refuses, and false if the scheduler removed the request.
 	 */
 	noteEnd(requestId: RequestId, end: AttemptEnd, nowMs: number): boolean;
-	/** Whether the running attempt's request would be taken back if the target's answer were a failure. */
+	/** Whether the request of the running attempt would be retried if the target answered with an error. */
 	isRetriable(requestId: RequestId, nowMs: number): boolean;
+	/** Records a load report of a target. */
 	noteLoad(target: TargetId, load: ReportedLoad, nowMs: number): void;
-	/** Forgets a waiting request. A running one is ended by `noteEnd`. */
+	/** Removes a waiting request. Running requests are removed by `noteEnd`. */
 	cancel(requestId: RequestId, nowMs: number): void;
-	/** Room for a normal request, or for the one given. */
+	/** Returns the capacity for the given request, or for a normal request. */
 	measureRoom(nowMs: number, request?: SchedulableRequest): ServiceRoom;
-	/** A target that the scheduler does not know has no room. */
+	/** Returns the use of a target, with a limit of 0 for an unknown target. */
 	measureTarget(target: TargetId): TargetRoom;
 }
--- a/src/entry/common/scheduling/targetChooser.ts
+++ b/src/entry/common/scheduling/targetChooser.ts
@@ -1,13 +1,14 @@
 /**
- * Which target runs a request. Load patterns: prompts that share a prefix (the target that holds it answers
- * sooner), one prefix that is hotter than a target can carry, and reports of load that lag while several
- * entries choose by them. Random choice and round robin compute each prefix on every target; the least
- * loaded by a report that is seconds old draws every entry's requests to one target at once (herding).
+ * Chooses the target of a request. Prompts that share a prefix are answered sooner by the target that caches
+ * it, but one popular prefix can exceed the capacity of a target, and load reports lag while several entries
+ * choose by them. Random choice and round robin compute each prefix on every target. Choosing the least loaded
+ * target by a report that is seconds old sends the requests of all entries to one target at once (herding).
  *
- * A request with a prefix goes to the first target of its ranking while that one's load is within 1.25 of
- * the mean; then to the next of the ranking, which so becomes the second home of a hot prefix; then, as a
- * request without a prefix, to the better of two drawn at random. Two suffice to keep loads close together,
- * and since each entry draws its own two, no report makes all of them choose alike.
+ * A request with a prefix goes to the first target of the prefix ranking while the load of that target is
+ * within 1.25 of the mean (see `ChoicePolicy.maxLoadFactor`), else to the next target of the ranking, which
+ * thereby caches a popular prefix as well. If no ranked target qualifies, and for a request without a prefix,
+ * the choice is the less loaded of two random targets. Two are enough to keep loads close together, and since
+ * each entry draws its own two, a report doesn't lead all entries to the same target.
  */
 
 import type { IRandom } from '../../../base/common/random';
@@ -16,30 +17,33 @@
 import type { SchedulableRequest } from './serviceScheduler';
 import type { PooledTarget, TargetPool } from './targetPool';
 
-/** What is asked of the choice. */
+/** The input of a target choice. */
 export interface ChoiceContext {
 	readonly request: SchedulableRequest;
-	/** Expected run, in milliseconds. */
+	/** Expected run time, in milliseconds. */
 	readonly expectedMs: number;
-	/** Targets that attempts of the request were made at. */
+	/** Targets at which attempts of the request were already made. */
 	readonly triedTargets: readonly TargetId[];
 }
 
-/** The target and why. */
+/** The chosen target and the reason for the choice. */
 export interface TargetChoice {
 	readonly target: PooledTarget;
 	readonly reason: string;
-	/** Whether this is the trial of a target that is avoided otherwise. */
+	/** Whether the request is a trial of an ejected target. */
 	readonly isTrial: boolean;
 }
 
-/** Told of an attempt that tries whether a slow target has recovered. */
+/** Reason of an attempt that checks whether a slow target has recovered. */
 export const trialReason = 'trial of a slow target';
 
-/** Random draws before the free targets are walked: one may have been tried, or be free no more. */
+/**
+ * Number of random draws before all free targets are scanned. A draw fails if the target was already tried or
+ * is no longer free.
+ */
 const maxDraws = 6;
 
-/** Chooses for one service at one entry. */
+/** Chooses the targets of one service at one entry. */
 export class TargetChooser {
 	constructor(
 		private readonly pool: TargetPool,
@@ -47,7 +51,7 @@
 		private readonly random: IRandom,
 	) {}
 
-	/** The target to use now, or undefined where none is free for the request. */
+	/** Returns the target to use now, or undefined if none is free for the request. */
 	choose(context: ChoiceContext, nowMs: number): TargetChoice | undefined {
 		return (
 			this.chooseTrial(context, nowMs) ??
@@ -56,27 +60,26 @@
 		);
 	}
 
-	private isUsable(
-		target: PooledTarget,
-		{ request, triedTargets: tried }: ChoiceContext,
-		nowMs: number,
-	): boolean {
+	private isUsable(target: PooledTarget, { request, triedTargets }: ChoiceContext, nowMs: number): boolean {
 		if (target.use.runningCrashSuspects > 0 && request.isKeptApart?.() === true) {
 			return false;
 		}
-		return !tried.includes(target.id) && this.pool.isFree(target, request.requestClass, nowMs);
+		return !triedTargets.includes(target.id) && this.pool.isFree(target, request.requestClass, nowMs);
 	}
 
-	/** Sends one request to an avoided target if it has the time to be late. */
+	/**
+	 * Returns an ejected target whose trial is due, if the request would meet its deadline even at that
+	 * target's speed.
+	 */
 	private chooseTrial(context: ChoiceContext, nowMs: number): TargetChoice | undefined {
-		const { outlierDetector: speed } = this.pool;
-		if (!speed.hasEjected()) {
+		const { outlierDetector } = this.pool;
+		if (!outlierDetector.hasEjected()) {
 			return undefined;
 		}
 		for (const target of this.pool.targets) {
-			const lateMs = nowMs + context.expectedMs * speed.getSlowness(target.id);
+			const lateMs = nowMs + context.expectedMs * outlierDetector.getSlowness(target.id);
 			const isPossible = !target.use.isPaused(nowMs) && !context.triedTargets.includes(target.id);
-			if (isPossible && lateMs < context.request.deadlineMs && speed.isTrialDue(target.id, nowMs)) {
+			if (isPossible && lateMs < context.request.deadlineMs && outlierDetector.isTrialDue(target.id, nowMs)) {
 				return { target, reason: trialReason, isTrial: true };
 			}
 		}
@@ -88,19 +91,19 @@
 		if (prefixKey === undefined) {
 			return undefined;
 		}
-		for (const [place, target] of this.pool.findRanked(prefixKey).entries()) {
+		for (const [index, target] of this.pool.findRanked(prefixKey).entries()) {
 			if (this.isWithinLoadBound(target, context, nowMs) && this.isUsable(target, context, nowMs)) {
-				return { target, reason: `place ${place + 1} for its prefix`, isTrial: false };
+				return { target, reason: `place ${index + 1} in the ranking for its prompt prefix`, isTrial: false };
 			}
 		}
 		return undefined;
 	}
 
-	/** Whether the work sent to a target of late is within a multiple of its part of all work sent. */
+	/** Whether the recent work of a target is within a multiple of its part of all recent work. */
 	private isWithinLoadBound({ use }: PooledTarget, { expectedMs }: ChoiceContext, nowMs: number): boolean {
-		const { maxLoadFactor: boundedLoad, loadAllowanceRequests: freeRequests } = this.policy;
+		const { maxLoadFactor, loadAllowanceRequests } = this.policy;
 		const part = this.pool.recentWork.getValue(nowMs) * this.pool.computeSlotShare(use);
-		return use.recentWork.getValue(nowMs) <= boundedLoad * part + freeRequests * expectedMs;
+		return use.recentWork.getValue(nowMs) <= maxLoadFactor * part + loadAllowanceRequests * expectedMs;
 	}
 
 	private chooseByLoad(context: ChoiceContext, nowMs: number): TargetChoice | undefined {
@@ -110,13 +113,13 @@
 		}
 		const second = this.pickUsable(context, nowMs, first);
 		if (second === undefined) {
-			return { target: first, reason: 'the only free one', isTrial: false };
+			return { target: first, reason: 'only usable target', isTrial: false };
 		}
 		const isFirst = this.computeCost(first, nowMs) <= this.computeCost(second, nowMs);
-		return { target: isFirst ? first : second, reason: 'the less loaded of two', isTrial: false };
+		return { target: isFirst ? first : second, reason: 'less loaded of two random targets', isTrial: false };
 	}
 
-	/** A free target other than `except`: drawn while draws are cheap, else from a list of them. */
+	/** Returns a random usable target other than `except`. Scans all free targets if random draws find none. */
 	private pickUsable(
 		context: ChoiceContext,
 		nowMs: number,
@@ -133,7 +136,7 @@
 		return usable[this.random.pickBelow(usable.length)];
 	}
 
-	/** Load as a part of the target, weighed by its slowness, and the costs of its place. */
+	/** Returns the load per slot multiplied by the slowness, plus the cost of crossing availability zones. */
 	private computeCost({ id, use }: PooledTarget, nowMs: number): number {
 		const load = (use.running + 1 + this.pool.estimateOtherRequests(use, nowMs)) / use.target.slots;
 		const zoneCost = use.target.isSameZone ? 0 : this.policy.crossZoneCost;
--- a/src/entry/common/scheduling/targetPool.ts
+++ b/src/entry/common/scheduling/targetPool.ts
@@ -1,10 +1,11 @@
 /**
- * The targets of one service as this entry may use them now. Keeps what is learnt of a target across new
- * lists, pauses targets that refuse or cannot be reached, and adds up slots for the prediction of waits.
+ * The targets of one service as this entry can use them now. The pool keeps the state of a target when the
+ * list of targets is updated, pauses targets that refuse requests or can't be reached, and adds up slots for
+ * the prediction of waits.
  *
- * A pause answers a target that dies or leaves between two lists. Without it the freed slots of the dead
- * target make it the least loaded one, and it draws every new request (a black hole). After a pause one
- * attempt at a time tries whether the target is back.
+ * Pauses cover a target that crashes or leaves between two lists. Without a pause, the freed slots of a crashed
+ * target make it the least loaded target, so it attracts every new request (a black hole). After a pause, one
+ * attempt at a time checks whether the target is back.
  */
 
 import { LRUCache } from 'lru-cache';
@@ -14,36 +15,39 @@
 import { requestClasses } from '../../../core/requests/common/requestClass';
 import { DecayingSum } from './decayingSum';
 import { FreeTargets } from './freeTargets';
+import { OutlierDetector } from './outlierDetector';
 import type { SchedulingPolicy } from './policy';
 import type { RankedTarget } from './prefixRanking';
 import { computeTextHash, findBestRanked } from './prefixRanking';
 import type { ReportedLoad, SchedulableTarget } from './serviceScheduler';
-import { OutlierDetector } from './outlierDetector';
 import { TargetUse } from './targetUse';
 
-/** Prefixes whose ranking is remembered; a ranking takes some hundred bytes. */
+/** Number of cached prefix rankings. A ranking takes a few hundred bytes. */
 const maxRankings = 4_096;
 
-/** A target with what the choice needs of it. */
+/** A target with its state at this entry. */
 export interface PooledTarget extends RankedTarget {
 	readonly use: TargetUse;
 }
 
-/** Holds the targets of one service at one entry. */
+/** The targets of one service at one entry. */
 export class TargetPool {
 	readonly outlierDetector: OutlierDetector;
-	/** Work sent to all targets of late. */
+	/** Work recently sent to all targets. */
 	readonly recentWork: DecayingSum;
 	private readonly byId = new Map<TargetId, PooledTarget>();
 	private readonly free = new Map<RequestClass, FreeTargets<PooledTarget>>();
 	private activeTargets: readonly PooledTarget[] = [];
 	private nominalSlots = 0;
-	/** Those of this entry's own availability zone, or all where it has none: prefixes are kept near. */
+	/**
+	 * Targets for requests with a prefix: the targets in this entry's availability zone, or all targets if it
+	 * has none.
+	 */
 	private affinityTargets: readonly PooledTarget[] = [];
-	/** Rankings by prefix, since a prefix comes again; forgotten when the targets change. */
+	/** Cached rankings by prefix, cleared when the targets change. */
 	private readonly rankings = new LRUCache<string, readonly PooledTarget[]>({ max: maxRankings });
 	private readonly paused = new Set<PooledTarget>();
-	/** When the first of the paused targets may be tried. */
+	/** Earliest end of a pause among the paused targets, in monotonic milliseconds. */
 	private nextResumeMs = Number.POSITIVE_INFINITY;
 	private slots = 0;
 	private reportDecayMs = 1;
@@ -60,22 +64,22 @@
 		this.outlierDetector = new OutlierDetector(policy.outlierDetection);
 	}
 
-	/** Targets that take new work, paused and slow ones included. */
+	/** Targets that accept new requests, including paused and ejected targets. */
 	get targets(): readonly PooledTarget[] {
 		return this.activeTargets;
 	}
 
-	/** Requests that all targets in use may run for this entry at a time. */
+	/** Number of requests that all active targets may run for this entry at a time. */
 	get totalSlots(): number {
 		return this.slots;
 	}
 
-	/** A target's part of all slots, before limits and shares. */
+	/** Returns a target's part of all slots, before limits and shares. */
 	computeSlotShare({ target }: TargetUse): number {
 		return target.slots / this.nominalSlots;
 	}
 
-	/** This entry's part of all slots. */
+	/** Part of all slots that this entry may use. */
 	get meanShare(): number {
 		return this.nominalSlots === 0 ? 1 : Math.min(1, this.slots / this.nominalSlots);
 	}
@@ -99,16 +103,19 @@
 		this.updateAllFree(nowMs);
 	}
 
-	/** Targets that may run a request of the class now; one may have become unfree with time. */
+	/**
+	 * Targets that may run a request of the class now. The set can still contain a target that is no longer
+	 * free.
+	 */
 	getFree(requestClass: RequestClass): FreeTargets<PooledTarget> {
 		const free = this.free.get(requestClass);
 		if (free === undefined) {
-			throw new Error(`no class ${requestClass}`);
+			throw new Error(`unknown request class ${requestClass}`);
 		}
 		return free;
 	}
 
-	/** Whether any target takes a request of the class now. */
+	/** Whether any target can run a request of the class now. */
 	hasFree(requestClass: RequestClass, nowMs: number): boolean {
 		this.checkPaused(nowMs);
 		const free = this.getFree(requestClass);
@@ -131,7 +138,10 @@
 		return use.hasRoom(this.policy.classes[requestClass].reservedShare, this.outlierDetector.getSlowness(id));
 	}
 
-	/** Something about the target changed: an attempt started or ended, it was paused or is alive. */
+	/**
+	 * Updates the sets of free targets after an attempt at the target started or ended, or the target was
+	 * paused or answered.
+	 */
 	updateFree(target: PooledTarget, nowMs: number): void {
 		if (this.byId.get(target.id) !== target) {
 			return;
@@ -145,7 +155,7 @@
 		}
 	}
 
-	/** The best targets for a prefix among the near ones. */
+	/** Returns the highest ranked targets for a prefix. */
 	findRanked(prefixKey: string): readonly PooledTarget[] {
 		let ranked = this.rankings.get(prefixKey);
 		if (ranked === undefined) {
@@ -167,27 +177,33 @@
 		}
 	}
 
-	/** Work of others on a target, in requests; without any report the others are taken to use it as we do. */
+	/**
+	 * Estimates the requests of other entries at a target. Without any report, other entries are assumed to
+	 * use their shares as this entry does.
+	 */
 	estimateOtherRequests(use: TargetUse, nowMs: number): number {
-		const ownUseScaled = use.running * (1 / use.target.share - 1);
-		return use.estimateOtherRequests(this.meanOtherRequests ?? ownUseScaled, this.reportDecayMs, nowMs);
+		const assumedRequests = use.running * (1 / use.target.share - 1);
+		return use.estimateOtherRequests(this.meanOtherRequests ?? assumedRequests, this.reportDecayMs, nowMs);
 	}
 
-	/** An attempt was refused or found no connection. */
+	/** Pauses a target after a failed attempt, for longer with each consecutive failure. */
 	pauseTarget(use: TargetUse, nowMs: number): void {
-		const { initialMs: firstMs, maxMs: longestMs } = this.policy.pause;
-		const pauseMs = Math.min(longestMs, firstMs * 2 ** use.consecutiveFailures);
+		const { initialMs, maxMs } = this.policy.pause;
+		const pauseMs = Math.min(maxMs, initialMs * 2 ** use.consecutiveFailures);
 		use.consecutiveFailures++;
 		use.pausedUntilMs = Math.max(use.pausedUntilMs, nowMs + pauseMs * (1 + this.random.pickFraction() / 2));
 	}
 
-	/** The target answered. */
+	/** Ends the pause of a target that answered. */
 	clearFailures(use: TargetUse): void {
 		use.consecutiveFailures = 0;
 		use.pausedUntilMs = 0;
 	}
 
-	/** Work was sent to a target. One that failed before is tried by one attempt: others stay away until that one's end. */
+	/**
+	 * Records work sent to a target. After failures, a single attempt checks whether the target is back: the
+	 * target stays paused until that attempt ends, at most for the longest pause.
+	 */
 	recordStart(use: TargetUse, workMs: number, nowMs: number): void {
 		this.recentWork.add(workMs, nowMs);
 		use.recentWork.add(workMs, nowMs);
@@ -196,13 +212,18 @@
 		}
 	}
 
-	/** Whether every target has failed several times in a row and is paused for it. */
+	/** Whether all targets are paused after several consecutive failures each. */
 	isDown(nowMs: number): boolean {
-		const { downAfterFailures: downAfter } = this.policy.pause;
-		return this.activeTargets.every(({ use }) => use.consecutiveFailures >= downAfter && use.isPaused(nowMs));
+		const { downAfterFailures } = this.policy.pause;
+		return this.activeTargets.every(
+			({ use }) => use.consecutiveFailures >= downAfterFailures && use.isPaused(nowMs),
+		);
 	}
 
-	/** Compares speeds and gives back limits; called at each check. `runMs` is the mean run of what runs. */
+	/**
+	 * Compares speeds, raises lowered limits and refreshes the totals. `runMs` is the mean run time of
+	 * running requests.
+	 */
 	update(elapsedMs: number, runMs: number, nowMs: number): void {
 		this.reportDecayMs = Math.max(1, runMs * this.policy.choice.reportDecayRuns);
 		this.outlierDetector.compare();
@@ -213,7 +234,7 @@
 		this.updateAllFree(nowMs);
 	}
 
-	/** Looks again at targets whose pause has ended. */
+	/** Updates the targets whose pause has ended. */
 	private checkPaused(nowMs: number): void {
 		if (nowMs < this.nextResumeMs) {
 			return;
@@ -255,16 +276,16 @@
 		this.meanOtherRequests = reports === 0 ? undefined : others / reports;
 	}
 
-	/** Gives the entry one slot at the target where it is nearest to one; gives the slots it has then. */
+	/** Allows one slot at the target with the largest fractional limit. Returns the number of usable slots. */
 	private addMinimumSlot(): number {
-		let nearest: TargetUse | undefined;
+		let largest: TargetUse | undefined;
 		for (const { use } of this.activeTargets) {
-			if (nearest === undefined || use.fractionalLimit > nearest.fractionalLimit) {
-				nearest = use;
+			if (largest === undefined || use.fractionalLimit > largest.fractionalLimit) {
+				largest = use;
 			}
 		}
-		nearest?.setLimitToOne();
-		return nearest === undefined ? 0 : 1;
+		largest?.setLimitToOne();
+		return largest === undefined ? 0 : 1;
 	}
 
 	private putTarget(target: SchedulableTarget): void {
--- a/src/entry/common/scheduling/targetUse.ts
+++ b/src/entry/common/scheduling/targetUse.ts
@@ -1,82 +1,94 @@
 /**
- * One target as this entry uses it: what runs there, how much may, what it last said of itself.
+ * Use of one target by this entry: what runs there, the concurrency limit, and the last reported load.
  *
- * The concurrency limit answers two patterns. Drafts fill every slot and hold it for half a minute: a
- * reserve that they cannot take keeps questions out of their queue. And several entries share a target
- * whose real capacity is lower than stated, because they count each other wrongly or other work runs there:
- * without a correction requests wait in the target's own queue, where neither class nor deadline counts.
- * The limit falls by a factor on a sign of that and is given back slowly.
+ * The concurrency limit covers two cases. Drafts occupy every slot for half a minute, so a reserve that drafts
+ * can't use keeps questions from waiting behind them. Several entries share a target whose real capacity is
+ * lower than stated, because they count each other wrongly or other work runs there. Without a correction,
+ * requests wait in the target's own queue, which ignores class and deadline. The limit is therefore multiplied
+ * by a factor below 1 on a sign of overload and raised slowly afterwards.
  *
- * A share that is kept strictly has a cost of its own: six entries with a slot or two each queue while the
- * target has slots free, and at 0.8 of the capacity the p99 is 1.7 times that without any limit. So short
- * requests may go beyond the share by what independent callers need, two square roots of it. Reports that
- * the target is full take this back: kept up, it would move the queue into the target, where the most
- * urgent class starves the others. A refusal cuts the share itself.
+ * A strict limit by share has a cost: six entries with a slot or two each queue requests while the target has
+ * free slots, and at 0.8 of the capacity the p99 is 1.7 times the p99 without any limit. Short requests may
+ * therefore exceed the share by the fluctuation of independent callers, two square roots of the share. Reports
+ * that the target is full take this allowance back. Otherwise the queue would move into the target, where the
+ * most urgent class starves the other classes. A refusal lowers the share itself.
  */
 
 import { DecayingSum } from './decayingSum';
 import type { LimitPolicy } from './policy';
 import type { ReportedLoad, SchedulableTarget } from './serviceScheduler';
 
-/** A report with the moment it speaks of. */
+/** The part of a load report that concerns other entries, with the time at which it was valid. */
 interface LoadSnapshot {
 	readonly measuredMs: number;
-	/** Requests of others that the target held, running and waiting. */
+	/** Running and waiting requests of other entries at the target. */
 	readonly otherRequests: number;
 }
 
-/** Weight of one report in the mean of a target's fill: some five reports, so that one burst is no overload. */
+/**
+ * Weight of one report in the mean fill of a target: averages about five reports, so that a single burst
+ * doesn't count as overload.
+ */
 const reportWeight = 0.2;
 
-/** The state of one target at one entry. */
+/** The state of one target at this entry. */
 export class TargetUse {
-	/** Attempts of this entry that run there. */
+	/** Number of running attempts of this entry. */
 	running = 0;
-	/** Of these, the ones whose class leaves a reserve. */
+	/** Number of these whose class may not use the reserve. */
 	runningOutsideReserve = 0;
-	/** Of these, the ones that must run apart from each other. */
+	/** Number of these whose request was in flight when a target crashed. */
 	runningCrashSuspects = 0;
-	/** Work sent there of late. */
+	/** Work recently sent to the target. */
 	readonly recentWork: DecayingSum;
-	/** No attempt before this time: the last ones could not be made or were refused. */
+	/** End of the pause after refused or unconnected attempts, in monotonic milliseconds. */
 	pausedUntilMs = 0;
-	/** Refused or unconnected attempts in a row. */
+	/** Number of consecutive attempts that failed or were refused. */
 	consecutiveFailures = 0;
-	/** Factor on the share, in (0, 1]. */
+	/** Factor on the share of this entry, in (0, 1], lowered by overload. */
 	private limitFactor = 1;
-	/** Factor on what may be borrowed, in [0, 1]. */
+	/** Part of the borrowable slots that may be borrowed, in [0, 1]. */
 	private borrowShare = 1;
 	private decreasedMs = Number.NEGATIVE_INFINITY;
 	private currentLimit = 1;
-	/** Mean of what ran and waited there by its reports, as a part of its slots. */
+	/** Mean of the reported running and waiting requests, as a part of the target's slots. */
 	private meanFill: number | undefined;
 	private lastReport: LoadSnapshot | undefined;
 
 	constructor(
 		public target: SchedulableTarget,
 		private readonly policy: LimitPolicy,
-		/** In [0, 1): rounds a fractional limit up or down, differently at each entry, so that the sum is right. */
+		/**
+		 * Offset in [0, 1) that rounds a fractional limit up or down. Differs by entry, so that the limits of
+		 * all entries add up to the slots.
+		 */
 		private readonly rounding: number,
-		loadFadeMs: number,
+		loadDecayMs: number,
 	) {
-		this.recentWork = new DecayingSum(loadFadeMs);
+		this.recentWork = new DecayingSum(loadDecayMs);
 		this.updateLimit();
 	}
 
 	/**
-	 * Attempts that this entry may run there at a time. Where entries outnumber a target's slots this is 0 at
-	 * most targets of each entry: one slot for every entry at every target would be several times its slots.
+	 * Number of attempts that this entry may run at a time. If there are more entries than slots, the limit is
+	 * 0 at most targets of an entry, since one slot for each entry would exceed the slots several times over.
 	 */
 	get limit(): number {
 		return this.currentLimit;
 	}
 
-	/** Share and rounding together; of targets with a limit of 0 the greatest is nearest to a slot. */
+	/**
+	 * The limit before it is rounded down. Among targets with a limit of 0, the target with the largest value
+	 * is closest to one slot.
+	 */
 	get fractionalLimit(): number {
 		return this.computeShare() + this.rounding;
 	}
 
-	/** An entry with a limit of 0 everywhere may use one slot here, or it could serve nothing. */
+	/**
+	 * Allows one attempt, for an entry that has a limit of 0 at all targets and couldn't serve any request
+	 * otherwise.
+	 */
 	setLimitToOne(): void {
 		this.currentLimit = 1;
 	}
@@ -91,18 +103,18 @@
 	}
 
 	/**
-	 * Whether a further attempt may run, of a class that leaves `reservedShare` of the limit to others. Such
-	 * a class keeps to the share: a draft would hold a borrowed slot when the others want it back.
+	 * Whether a further attempt may run for a class that leaves `reservedShare` of the limit to other classes.
+	 * Such a class doesn't borrow, since a draft would still occupy a borrowed slot when other entries need it.
 	 */
 	hasRoom(reservedShare: number, slowness: number): boolean {
 		if (reservedShare === 0) {
 			return this.running < this.burstLimit / slowness;
 		}
-		const open = Math.ceil(this.currentLimit * (1 - reservedShare));
-		return this.running < this.currentLimit / slowness && this.runningOutsideReserve < open;
+		const openLimit = Math.ceil(this.currentLimit * (1 - reservedShare));
+		return this.running < this.currentLimit / slowness && this.runningOutsideReserve < openLimit;
 	}
 
-	/** The share and what short requests may borrow beyond it; `slots` at most. */
+	/** The limit plus the slots that short requests may borrow, at most the slots of the target. */
 	get burstLimit(): number {
 		const borrowed = this.borrowShare * this.policy.borrowFactor * Math.sqrt(this.computeShare());
 		return Math.max(
@@ -112,15 +124,15 @@
 	}
 
 	noteLoad(load: ReportedLoad, nowMs: number): void {
-		const others = Math.max(0, load.running + load.waiting - this.running);
-		this.lastReport = { measuredMs: nowMs - load.ageMs, otherRequests: others };
+		const otherRequests = Math.max(0, load.running + load.waiting - this.running);
+		this.lastReport = { measuredMs: nowMs - load.ageMs, otherRequests };
 		const fill = (load.running + load.waiting) / Math.max(1, load.slots);
 		this.meanFill =
 			this.meanFill === undefined ? fill : this.meanFill + reportWeight * (fill - this.meanFill);
 		this.borrowShare = this.computeBorrowShare(this.meanFill);
 	}
 
-	/** Requests of others there; fades from the last report to a neutral value as the report ages. */
+	/** Estimates the requests of other entries: the last report, which decays to `fallback` with its age. */
 	estimateOtherRequests(fallback: number, decayMs: number, nowMs: number): number {
 		if (this.lastReport === undefined) {
 			return fallback;
@@ -129,12 +141,12 @@
 		return fallback + (this.lastReport.otherRequests - fallback) * weight;
 	}
 
-	/** What the last report said of others, or undefined where there is none. */
+	/** Requests of other entries by the last report, or undefined without a report. */
 	getReportedOtherRequests(): number | undefined {
 		return this.lastReport?.otherRequests;
 	}
 
-	/** The target refused for want of room. */
+	/** Lowers the limit after the target refused a request because it was full. */
 	cutLimit(nowMs: number): void {
 		if (nowMs - this.decreasedMs < this.policy.minDecreaseIntervalMs) {
 			return;
@@ -144,7 +156,7 @@
 		this.updateLimit();
 	}
 
-	/** Gives back a part of the limit for time that passed without a sign of overload. */
+	/** Raises a lowered limit for elapsed time. */
 	advanceRecovery(elapsedMs: number): void {
 		if (this.limitFactor < 1) {
 			const increase = (this.policy.increasePerSecond * elapsedMs) / 1_000;
@@ -154,8 +166,8 @@
 	}
 
 	private computeBorrowShare(fill: number): number {
-		const { fullBorrowMaxFill: borrowBelowFill, noBorrowMinFill: borrowNoneAtFill } = this.policy;
-		return Math.max(0, Math.min(1, (borrowNoneAtFill - fill) / (borrowNoneAtFill - borrowBelowFill)));
+		const { fullBorrowMaxFill, noBorrowMinFill } = this.policy;
+		return Math.max(0, Math.min(1, (noBorrowMinFill - fill) / (noBorrowMinFill - fullBorrowMaxFill)));
 	}
 
 	private computeShare(): number {
--- a/src/entry/common/scheduling/test/crashSuspects.test.ts
+++ b/src/entry/common/scheduling/test/crashSuspects.test.ts
@@ -10,10 +10,11 @@
 	);
 }
 
-describe('requests that were in flight at a death', () => {
-	it('run at one target each, beside others, and wait where every target has one', () => {
-		// One request killed its target, and those that ran beside it are tried again. If two of them share
-		// the next target and it dies too, both have been seen at two deaths and the innocent one is refused.
+describe('requests that were in flight when a target crashed', () => {
+	it('run on separate targets, together with other requests, and wait if every target already runs one', () => {
+		// One of several requests crashed its target, and all of them are retried. If two of them shared the next
+		// target and it crashed too, both would have been seen at two crashes, and the harmless one would be
+		// refused.
 		const scheduler = new ServiceScheduler(new SeededRandom(5));
 		scheduler.setTargets([createTarget('t1'), createTarget('t2')], 0);
 		const suspects = ['a', 'b', 'c'].map(id => createRequest(id, { isKeptApart: () => true }));
--- a/src/entry/common/scheduling/test/fairQueue.test.ts
+++ b/src/entry/common/scheduling/test/fairQueue.test.ts
@@ -9,7 +9,7 @@
 	return { request, workMs, isRemoved: false };
 }
 
-/** Work served to each organisation by `count` takes. */
+/** Takes `count` requests and sums their work by organisation. */
 function sumServed(queue: FairQueue, count: number): Map<string, number> {
 	const served = new Map<string, number>();
 	for (let taken = 0; taken < count; taken++) {
@@ -21,9 +21,9 @@
 }
 
 describe('FairQueue', () => {
-	// One organisation sends ten requests for each one of the other. Served by arrival, the other would get a
-	// tenth of the service, and its callers would wait behind the backlog of a stranger.
-	it('serves an organisation its part whatever the length of the queue of another', () => {
+	// One organisation sends nine times as many requests as another. Served in order of arrival, the other would
+	// get a tenth of the service and wait behind a backlog that it didn't cause.
+	it('serves an organisation its share regardless of the queue length of another', () => {
 		const queue = new FairQueue();
 		for (let index = 0; index < 1_000; index++) {
 			queue.push(createQueued(`h${index}`, index % 10 === 0 ? 'quiet' : 'hot', 100), 1);
@@ -42,9 +42,9 @@
 		expect((served.get('short') ?? 0) / (served.get('long') ?? 1)).toBeCloseTo(2, 0);
 	});
 
-	// An organisation was idle all morning and sends a thousand requests at noon. Had it saved up its part, all
-	// others would wait until it has been served as much as they were.
-	it('gives an organisation that was idle its part from now on, not from the beginning', () => {
+	// If an idle organisation earned credit, a later burst would make all other organisations wait until it has
+	// been served as much as they were.
+	it('gives an organisation no credit for the time in which it was idle', () => {
 		const queue = new FairQueue();
 		for (let index = 0; index < 300; index++) {
 			queue.push(createQueued(`b${index}`, 'busy', 100), 1);
@@ -57,7 +57,7 @@
 		expect(served.get('idle')).toBe(5_000);
 	});
 
-	it('makes an organisation pay later for work that was estimated too low', () => {
+	it('charges an organisation afterwards for work that was estimated too low', () => {
 		const queue = new FairQueue();
 		for (let index = 0; index < 100; index++) {
 			queue.push(createQueued(`a${index}`, 'a', 100), 1);
@@ -68,7 +68,7 @@
 		expect((served.get('b') ?? 0) - (served.get('a') ?? 0)).toBeGreaterThanOrEqual(900);
 	});
 
-	it('keeps count of what waits through any order of pushes, takes and removals', () => {
+	it('counts the waiting requests and their work correctly for any order of pushes, takes and removals', () => {
 		const operation = fc.record({
 			kind: fc.nat(4),
 			organisation: fc.nat(3),
@@ -79,7 +79,7 @@
 				const queue = new FairQueue();
 				const waiting = new Set<QueuedRequest>();
 				operations.forEach(({ kind, organisation, workMs }, index) => {
-					const [some] = waiting;
+					const [oldest] = waiting;
 					if (kind < 3) {
 						const item = createQueued(`r${index}`, `o${organisation}`, workMs);
 						waiting.add(item);
@@ -88,9 +88,9 @@
 						const taken = queue.take();
 						expect(taken === undefined).toBe(waiting.size === 0);
 						waiting.delete(taken!);
-					} else if (some !== undefined) {
-						queue.remove(some);
-						waiting.delete(some);
+					} else if (oldest !== undefined) {
+						queue.remove(oldest);
+						waiting.delete(oldest);
 					}
 					expect(queue.size).toBe(waiting.size);
 				});
--- a/src/entry/common/scheduling/test/fixtures.ts
+++ b/src/entry/common/scheduling/test/fixtures.ts
@@ -1,10 +1,12 @@
-/** Requests and targets for the tests of scheduling, each with what a test names and defaults for the rest. */
+/**
+ * Builds requests and targets for the scheduling tests, with defaults for all fields that a test doesn't set.
+ */
 
 import type { OrganisationName, RequestId, TargetId, ZoneName } from '../../../../core/ids/common/ids';
 import { RequestClass } from '../../../../core/requests/common/requestClass';
 import type { SchedulableRequest, SchedulableTarget } from '../serviceScheduler';
 
-export function createRequest(id: string, more: Partial<SchedulableRequest> = {}): SchedulableRequest {
+export function createRequest(id: string, overrides: Partial<SchedulableRequest> = {}): SchedulableRequest {
 	return {
 		id: id as RequestId,
 		organisation: 'omaruru' as OrganisationName,
@@ -14,11 +16,11 @@
 		prefixKey: undefined,
 		bodyBytes: 100,
 		isRepeatable: true,
-		...more,
+		...overrides,
 	};
 }
 
-export function createTarget(id: string, more: Partial<SchedulableTarget> = {}): SchedulableTarget {
+export function createTarget(id: string, overrides: Partial<SchedulableTarget> = {}): SchedulableTarget {
 	return {
 		id: id as TargetId,
 		zone: 'khomas-a' as ZoneName,
@@ -26,6 +28,6 @@
 		slots: 4,
 		share: 1,
 		isLeaving: false,
-		...more,
+		...overrides,
 	};
 }
--- a/src/entry/common/scheduling/test/scheduler.test.ts
+++ b/src/entry/common/scheduling/test/scheduler.test.ts
@@ -41,24 +41,27 @@
 	});
 }
 
-function createMany(count: number, more: Partial<SchedulableRequest> = {}): SchedulableRequest[] {
-	return Array.from({ length: count }, (_, index) => createRequest(`r${index}`, more));
+function createMany(count: number, overrides: Partial<SchedulableRequest> = {}): SchedulableRequest[] {
+	return Array.from({ length: count }, (_, index) => createRequest(`r${index}`, overrides));
 }
 
-/** Starts one request and ends its first attempt; gives the target and whether it was taken back. */
+/**
+ * Starts one request and ends its first attempt. Returns the target and whether the request is queued for a
+ * retry.
+ */
 function endFirst(
 	scheduler: ServiceScheduler,
 	end: AttemptEnd,
-	more: Partial<SchedulableRequest> = {},
+	overrides: Partial<SchedulableRequest> = {},
 ): { readonly target: TargetId; readonly isRequeued: boolean } {
-	const [start] = listStarts(submit(scheduler, [createRequest('r0', more)], 0));
+	const [start] = listStarts(submit(scheduler, [createRequest('r0', overrides)], 0));
 	return { target: start!.target, isRequeued: scheduler.noteEnd('r0' as RequestId, end, 10) };
 }
 
 describe('ServiceScheduler under overload', () => {
-	// Ten times as many questions arrive at once as can be answered in time. Queued, most callers would learn
-	// at their deadline that they had no chance.
-	it('refuses on arrival what cannot be answered in time, with a time to come back that grows', () => {
+	// Ten times as many questions arrive at once as can be answered in time. If all were queued, most would fail
+	// at their deadline.
+	it('refuses requests on arrival that cannot be answered in time, with increasing retry delays', () => {
 		const scheduler = createScheduler('t1');
 		const refusals = listRefusals(submit(scheduler, createMany(200, { deadlineMs: 2_000 }), 0));
 		expect(refusals.length).toBeGreaterThan(170);
@@ -69,16 +72,16 @@
 		expect(refusals.every(({ error }) => getOutcomeOf(error) === Outcome.NotRun)).toBe(true);
 	});
 
-	// Drafts of half a minute come in when nothing else does. If they took every slot, a question that arrives
-	// a moment later would wait for the end of one.
-	it('keeps slots from drafts that questions find free', () => {
+	// Drafts of half a minute arrive first. If they occupied every slot, a question that arrives a moment later
+	// would wait for the end of a draft.
+	it('keeps slots free of drafts for questions', () => {
 		const scheduler = createScheduler('t1', 't2');
 		const drafts = createMany(20, { requestClass: RequestClass.Draft, deadlineMs: 600_000 });
 		expect(listStarts(submit(scheduler, drafts, 0))).toHaveLength(6);
 		expect(listStarts(submit(scheduler, [createRequest('q')], 1))).toHaveLength(1);
 	});
 
-	it('lets one request through when estimates say that none can be in time, so that they can mend', () => {
+	it('admits one request when the estimate exceeds every deadline, so that the estimate can be corrected', () => {
 		const scheduler = createScheduler('t1');
 		submit(scheduler, [createRequest('r0', { deadlineMs: 60_000 })], 0);
 		scheduler.noteEnd('r0' as RequestId, AttemptEnd.Answered, 50_000);
@@ -90,8 +93,8 @@
 		]);
 	});
 
-	// The only targets leave while requests wait. Their callers must hear of it now, not at their deadline.
-	it('refuses at once what waits when the last target goes', () => {
+	// The only target leaves while requests wait. Their callers must be answered now, not at their deadline.
+	it('refuses waiting requests at once when the last target leaves', () => {
 		const scheduler = createScheduler('t1');
 		submit(scheduler, createMany(8), 0);
 		scheduler.setTargets([createTarget('t1', { isLeaving: true })], 5);
@@ -102,37 +105,38 @@
 });
 
 describe('ServiceScheduler after a failed attempt', () => {
-	// A target refuses a payment that it did not run. Another target may have it, since nothing ran yet.
-	it('makes an attempt that cannot have run again elsewhere, for any request', () => {
+	// A target refuses a payment that it didn't run. Another target may run it, since nothing ran yet.
+	it('retries an attempt that cannot have run at another target, for any request', () => {
 		for (const end of [AttemptEnd.TargetRefused, AttemptEnd.NotConnected]) {
 			const scheduler = createScheduler('t1', 't2');
-			const { target, isRequeued: isTakenBack } = endFirst(scheduler, end, { isRepeatable: false });
-			expect(isTakenBack).toBe(true);
+			const { target, isRequeued } = endFirst(scheduler, end, { isRepeatable: false });
+			expect(isRequeued).toBe(true);
 			const [retry] = listStarts(scheduler.advance(10));
 			expect(retry?.target).toBeDefined();
 			expect(retry?.target).not.toBe(target);
 		}
 	});
 
-	// A connection breaks while a payment runs. Sent again, the household would be charged twice.
-	it('never repeats an attempt that may have run unless the request allows it', () => {
+	// A connection breaks while a payment runs. A second attempt could charge the payment twice.
+	it('never retries an attempt that may have run unless the request is repeatable', () => {
 		for (const end of [AttemptEnd.Failed, AttemptEnd.Silent]) {
 			expect(endFirst(createScheduler('t1', 't2'), end, { isRepeatable: false }).isRequeued).toBe(false);
 			expect(endFirst(createScheduler('t1', 't2'), end).isRequeued).toBe(true);
 		}
 	});
 
-	// The caller has a part of an answer when the target dies. A second attempt would append another one.
-	it('does not repeat after the first byte', () => {
+	// The caller has received part of an answer when the target crashes. A second attempt would append another
+	// answer to it.
+	it('does not retry after the first byte of an answer', () => {
 		const scheduler = createScheduler('t1', 't2');
 		submit(scheduler, [createRequest('r0')], 0);
 		scheduler.noteFirstByte('r0' as RequestId, 5);
 		expect(scheduler.noteEnd('r0' as RequestId, AttemptEnd.Failed, 10)).toBe(false);
 	});
 
-	// The first attempt broke off, the second could not be made. Told `not-run`, the caller would send again
-	// what may have run.
-	it('does not say of a request that it was not run when an earlier attempt may have run', () => {
+	// The connection of the first attempt broke, and the second attempt found no connection. With the outcome
+	// `not-run`, the caller would resend a request that may have run.
+	it('does not report not-run when an earlier attempt may have run', () => {
 		const scheduler = createScheduler('t1', 't2', 't3');
 		endFirst(scheduler, AttemptEnd.Failed);
 		scheduler.advance(10);
@@ -143,21 +147,21 @@
 		expect(getOutcomeOf(refusal!.error)).toBe(Outcome.Unknown);
 	});
 
-	// Every target breaks off every request. Retried freely, the load on them would be three times what callers
-	// send, at the worst moment.
-	it('stops retrying when its savings are spent', () => {
+	// Every attempt at every target fails. With unlimited retries, the targets would get three times the load
+	// that callers send.
+	it('stops retrying when the retry budget is used up', () => {
 		const scheduler = createScheduler(...Array.from({ length: 40 }, (_, index) => `t${index}`));
-		let takenBack = 0;
+		let requeued = 0;
 		submit(scheduler, createMany(60), 0);
 		for (let index = 0; index < 60; index++) {
-			takenBack += scheduler.noteEnd(`r${index}` as RequestId, AttemptEnd.Silent, 10) ? 1 : 0;
+			requeued += scheduler.noteEnd(`r${index}` as RequestId, AttemptEnd.Silent, 10) ? 1 : 0;
 		}
-		expect(takenBack).toBe(10);
+		expect(requeued).toBe(10);
 	});
 
-	// A target dies. Its slots are all free, so it looks like the best one; without a pause it would draw every
-	// new request to itself and fail it.
-	it('sends nothing to a target that could not be reached, then tries it with one request', () => {
+	// A crashed target has only free slots, so it appears to be the best choice. Without a pause it would attract
+	// and fail every new request.
+	it('pauses a target that could not be reached, then tries it with one request', () => {
 		const scheduler = createScheduler('t1', 't2');
 		const { target } = endFirst(scheduler, AttemptEnd.NotConnected);
 		scheduler.advance(10);
@@ -166,7 +170,7 @@
 		const after = listStarts(
 			submit(
 				scheduler,
-				createMany(8).map(r => ({ ...r, id: `x${r.id}` as RequestId })),
+				createMany(8).map(request => ({ ...request, id: `x${request.id}` as RequestId })),
 				500,
 			),
 		);
--- a/src/entry/common/scheduling/test/schedulerProperties.test.ts
+++ b/src/entry/common/scheduling/test/schedulerProperties.test.ts
@@ -10,7 +10,10 @@
 import { isNotRun } from '../attempt';
 import { createRequest, createTarget } from './fixtures';
 
-/** Carries out decisions and keeps the books that the scheduler is checked against. */
+/**
+ * Carries out the scheduler's decisions and checks them against its own record of waiting and running
+ * requests.
+ */
 class SchedulerModel {
 	nowMs = 0;
 	readonly scheduler = new ServiceScheduler(new SeededRandom(7));
@@ -131,23 +134,23 @@
 	}
 }
 
-describe('ServiceScheduler, whatever comes in whatever order', () => {
-	it('decides each request once, keeps to limits and to the order within an organisation and class', () => {
+describe('ServiceScheduler with random operations', () => {
+	it('decides each request once and keeps the limits and the order within an organisation and class', () => {
 		fc.assert(
 			fc.property(fc.array(operation, { maxLength: 120 }), operations => {
-				const books = new SchedulerModel([
+				const model = new SchedulerModel([
 					createTarget('t1', { slots: 2 }),
 					createTarget('t2', { slots: 5, share: 0.5 }),
 					createTarget('t3', { slots: 1, isSameZone: false }),
 				]);
 				operations.forEach((item, index) => {
-					applyOperation(books, item, index);
+					applyOperation(model, item, index);
 				});
-				endAll(books);
-				expect([...books.waiting.keys(), ...books.running.keys()]).toEqual([]);
-				expect(books.scheduler.getNextDueMs()).toBeUndefined();
+				endAll(model);
+				expect([...model.waiting.keys(), ...model.running.keys()]).toEqual([]);
+				expect(model.scheduler.getNextDueMs()).toBeUndefined();
 				const lastByKey = new Map<string, number>();
-				for (const request of books.firstStarts) {
+				for (const request of model.firstStarts) {
 					const key = `${request.organisation} ${request.requestClass}`;
 					const number = Number(request.id.slice(1));
 					expect(number).toBeGreaterThan(lastByKey.get(key) ?? -1);
--- a/src/entry/common/scheduling/test/targetUse.test.ts
+++ b/src/entry/common/scheduling/test/targetUse.test.ts
@@ -5,9 +5,9 @@
 
 const draftReserve = 0.25;
 
-function createUse(more: Partial<SchedulableTarget> = {}, rounding = 0): TargetUse {
+function createUse(overrides: Partial<SchedulableTarget> = {}, rounding = 0): TargetUse {
 	return new TargetUse(
-		createTarget('t1', { slots: 8, ...more }),
+		createTarget('t1', { slots: 8, ...overrides }),
 		defaultSchedulingPolicy.limit,
 		rounding,
 		10_000,
@@ -19,8 +19,8 @@
 }
 
 describe('TargetUse', () => {
-	// Drafts come in one after the other while nothing else does. Each target keeps slots that they can't take.
-	it('leaves a quarter of a target to more urgent classes', () => {
+	// Only drafts arrive. Without a reserve they would occupy every slot of the target.
+	it('reserves a quarter of the slots for more urgent classes', () => {
 		const use = createUse();
 		while (use.hasRoom(draftReserve, 1)) {
 			use.running++;
@@ -30,15 +30,15 @@
 		expect(use.hasRoom(0, 1)).toBe(true);
 	});
 
-	it('divides a target among entries so that their limits add up to its slots', () => {
+	it('divides the slots among entries so that their limits add up to the slots of the target', () => {
 		const share = 1 / 24;
 		const limits = Array.from({ length: 24 }, (_, index) => createUse({ share }, index / 24).limit);
 		expect(limits.reduce((sum, limit) => sum + limit, 0)).toBe(8);
 	});
 
-	// Six entries share a target. While it has slots free, an entry may use more than its sixth; when reports
-	// show it full, queues belong at the entries, where class and deadline count.
-	it('lends to short requests until reports show the target full', () => {
+	// Six entries share a target. While the target has free slots, an entry may use more than its sixth. Once
+	// reports show it full, requests have to wait at the entries, which consider class and deadline.
+	it('lets short requests exceed the share until reports show that the target is full', () => {
 		const use = createUse({ share: 1 / 6 });
 		expect(use.limit).toBe(1);
 		expect(use.burstLimit).toBe(3);
@@ -52,8 +52,8 @@
 		expect(use.burstLimit).toBe(3);
 	});
 
-	// A target refuses for want of room: its real capacity is lower than stated.
-	it('lowers the limit on refusals, once for each bunch of them, and gives it back with time', () => {
+	// A target refuses requests because its real capacity is lower than stated.
+	it('lowers the limit once per burst of refusals and raises it again over time', () => {
 		const use = createUse();
 		use.cutLimit(0);
 		use.cutLimit(10);
--- a/src/entry/common/scheduling/waitPredictor.ts
+++ b/src/entry/common/scheduling/waitPredictor.ts
@@ -1,12 +1,13 @@
 /**
- * How long a request would wait. Load pattern: overload that lasts. A queue bounded by a count is too long
- * for questions and too short for drafts; bounded by time it holds just what can still be answered. Without
- * a prediction, callers learn at their deadline that they had no chance, and the service spends its time on
- * answers that come too late.
+ * Predicts how long a request would wait, for admission control under sustained overload. A queue limited by a
+ * count is too long for questions and too short for drafts. A queue limited by time holds only requests that
+ * can still be answered. Without a prediction, callers find out at their deadline that the request had no
+ * chance, and the service spends its time on answers that arrive too late.
  *
- * The wait is the work served before the request, divided by the slots that its class can count on: all
- * slots less those that less urgent classes hold on to for longer than the request could wait, and less
- * those that more urgent ones use, but no less than its weight guarantees beside the latter.
+ * The wait is the work that is served before the request, divided by the slots that its class can use: all
+ * slots, minus those that less urgent classes occupy for longer than the request can wait, minus those that
+ * more urgent classes use. The class can always use its part by weight of the slots that less urgent classes
+ * leave.
  */
 
 import type { OrganisationName } from '../../../core/ids/common/ids';
@@ -14,7 +15,7 @@
 import type { TargetPool } from './targetPool';
 import type { WorkEstimator } from './workEstimator';
 
-/** Predicts for one service. */
+/** Predicts the wait of requests of one service. */
 export class WaitPredictor {
 	constructor(
 		private readonly lanes: ClassLanes,
@@ -22,20 +23,23 @@
 		private readonly estimator: WorkEstimator,
 	) {}
 
-	/** Wait of a further request of the organisation, in milliseconds. */
+	/** Returns the predicted wait of a further request of the organisation, in milliseconds. */
 	estimateWait(lane: ClassLane, organisation: OrganisationName, weight: number, timeLeftMs: number): number {
 		const workAheadMs = lane.queue.computeWorkAhead(organisation, weight);
 		return this.estimateWaitAfter(lane, workAheadMs, timeLeftMs);
 	}
 
-	/** Wait of a request that is served after `aheadMs` of work and could wait for `patienceMs`. */
+	/**
+	 * Returns the predicted wait of a request that is served after `workAheadMs` of work and can wait up to
+	 * `timeLeftMs`.
+	 */
 	estimateWaitAfter(lane: ClassLane, workAheadMs: number, timeLeftMs: number): number {
 		const turnMs = this.lanes.computeWorkAhead(lane) / Math.max(1, this.pool.totalSlots);
 		const freeMs = Math.max(this.estimateTimeToFreeSlot(), this.estimateTimeToLaneSlot(lane));
 		return freeMs + turnMs + workAheadMs / this.countUsableSlots(lane, timeLeftMs);
 	}
 
-	/** Slots that the class can count on within a time. */
+	/** Returns the number of slots that the class can expect to use within `timeLeftMs`. */
 	countUsableSlots(lane: ClassLane, timeLeftMs: number): number {
 		const availableSlots = this.pool.totalSlots - this.countHeldByLessUrgent(lane, timeLeftMs);
 		let heldByMoreUrgent = 0;
@@ -51,7 +55,7 @@
 		return Math.max(1, Math.min(slotLimit, Math.max(guaranteed, availableSlots - heldByMoreUrgent)));
 	}
 
-	/** Mean run of what runs now, in milliseconds; 0 where nothing does. */
+	/** Returns the mean run time of the running requests in milliseconds, or 0 if none run. */
 	estimateMeanRun(): number {
 		let runMs = 0;
 		for (const lane of this.lanes.lanes) {
@@ -60,7 +64,7 @@
 		return runMs / Math.max(1, this.lanes.running);
 	}
 
-	/** Mean time until some slot is free, in milliseconds; 0 while one is. */
+	/** Returns the mean time until any slot becomes free in milliseconds, or 0 if one is free. */
 	estimateTimeToFreeSlot(): number {
 		if (this.lanes.running < this.pool.totalSlots) {
 			return 0;
@@ -72,7 +76,7 @@
 		return endsPerMs > 0 ? 1 / endsPerMs : 0;
 	}
 
-	/** Mean time until the lane may hold one more slot; 0 while it may. */
+	/** Returns the mean time until the lane is below its slot limit in milliseconds, or 0 if it is below. */
 	private estimateTimeToLaneSlot(lane: ClassLane): number {
 		if (
 			lane.running === 0 ||
@@ -83,7 +87,7 @@
 		return this.estimator.estimateForClass(lane.requestClass) / lane.running;
 	}
 
-	/** Slots that less urgent classes hold on to for longer than the request can wait. */
+	/** Returns the number of slots that less urgent classes occupy for longer than the request can wait. */
 	private countHeldByLessUrgent(lane: ClassLane, timeLeftMs: number): number {
 		let held = 0;
 		for (const other of this.lanes.lanes) {
--- a/src/entry/common/scheduling/workEstimator.ts
+++ b/src/entry/common/scheduling/workEstimator.ts
@@ -1,23 +1,27 @@
 /**
- * How long a request will hold a slot, learnt from those that ended before it. Load pattern: drafts of half
- * a minute among questions of a third of a second, and organisations whose requests are longer than those
- * of others. Without estimates fairness could only count requests, so an organisation of long drafts would
- * take a hundred times the share of one with questions, and a deadline could not be held against a queue.
+ * Estimates how long a request occupies a slot, from the run times of earlier requests. Run times differ
+ * widely between classes (a draft takes half a minute, a question a third of a second) and between
+ * organisations. Without estimates, fairness could only count requests, so an organisation that sends long
+ * drafts would take a hundred times the share of one that sends questions, and the wait in a queue couldn't
+ * be compared with a deadline.
  */
 
 import type { OrganisationName } from '../../../core/ids/common/ids';
 import { RequestClass, requestClasses } from '../../../core/requests/common/requestClass';
 import type { ClassPolicy } from './policy';
 
-/** Twenty runs: a change of the work shows within seconds, and one odd run moves the mean by 5% of itself. */
+/**
+ * Averages over about 20 runs: follows a change of the workload within seconds, and one outlier moves the
+ * mean by 5% of its distance.
+ */
 const minRunWeight = 0.05;
-/** Runs of an organisation before its own mean is believed rather than that of its class. */
+/** Number of runs of an organisation before its own mean replaces the mean of the class. */
 const minOrganisationRuns = 5;
 
 interface RunAverage {
 	runs: number;
 	meanMs: number;
-	/** Mean absolute distance from the mean. */
+	/** Mean absolute deviation from `meanMs`. */
 	deviationMs: number;
 }
 
@@ -33,7 +37,7 @@
 	average.deviationMs += weight * (Math.abs(distanceMs) - average.deviationMs);
 }
 
-/** Learns and tells the run times of one service's requests, in milliseconds of a slot. */
+/** Estimates the run times of one service's requests, in milliseconds of slot time. */
 export class WorkEstimator {
 	private readonly byClass = new Map<RequestClass, RunAverage>();
 	private readonly byOrganisation = new Map<OrganisationName, Map<RequestClass, RunAverage>>();
@@ -44,23 +48,23 @@
 		}
 	}
 
-	/** The mean run of such a request. */
+	/** Returns the mean run time of the organisation's requests of this class. */
 	estimate(organisation: OrganisationName, requestClass: RequestClass): number {
 		return this.findAverage(organisation, requestClass).meanMs;
 	}
 
-	/** A run that is longer than the mean by a number of deviations, to hold against a deadline. */
+	/** Returns the mean run time plus a number of mean deviations, for comparison with a deadline. */
 	estimateWithMargin(organisation: OrganisationName, requestClass: RequestClass, deviations: number): number {
 		const { meanMs, deviationMs } = this.findAverage(organisation, requestClass);
 		return meanMs + deviations * deviationMs;
 	}
 
-	/** The mean run of a class over all organisations. */
+	/** Returns the mean run time of a class over all organisations. */
 	estimateForClass(requestClass: RequestClass): number {
 		return this.getClassAverage(requestClass).meanMs;
 	}
 
-	/** Whether a run of the class has been seen at all. */
+	/** Whether at least one run of the class has been recorded. */
 	hasRuns(requestClass: RequestClass): boolean {
 		return this.getClassAverage(requestClass).runs > 0;
 	}
@@ -88,7 +92,7 @@
 	private getClassAverage(requestClass: RequestClass): RunAverage {
 		const average = this.byClass.get(requestClass);
 		if (average === undefined) {
-			throw new Error(`no class ${requestClass}`);
+			throw new Error(`unknown request class ${requestClass}`);
 		}
 		return average;
 	}
