--- a/src/entry/common/fleetView/exchangePlanner.ts
+++ b/src/entry/common/fleetView/exchangePlanner.ts
@@ -11,8 +11,8 @@
 
 import type { IRandom } from '../../../base/common/random';
 import type { InstanceId, RegionName, ZoneName } from '../../../core/ids/common/ids';
-import type { FleetViewFigures } from '../scheduling/policy';
-import { defaultFleetViewFigures } from '../scheduling/policy';
+import type { FleetViewParameters } from '../scheduling/policy';
+import { defaultFleetViewParameters } from '../scheduling/policy';
 import type { EntryView } from './entryView';
 import { estimateViewBytes } from './entryView';
 import type { FleetView, KnownInstance } from './fleetView';
@@ -29,7 +29,7 @@
 		private readonly location: ExchangeLocation,
 		private readonly fleet: FleetView,
 		private readonly random: IRandom,
-		private readonly options: FleetViewFigures = defaultFleetViewFigures,
+		private readonly options: FleetViewParameters = defaultFleetViewParameters,
 	) {}
 
 	/** Returns the peers to exchange views with now, without duplicates. */
--- a/src/entry/common/fleetView/fleetView.ts
+++ b/src/entry/common/fleetView/fleetView.ts
@@ -10,8 +10,8 @@
  */
 
 import type { BootId, InstanceId, ServiceName } from '../../../core/ids/common/ids';
-import type { FleetViewFigures } from '../scheduling/policy';
-import { defaultFleetViewFigures } from '../scheduling/policy';
+import type { FleetViewParameters } from '../scheduling/policy';
+import { defaultFleetViewParameters } from '../scheduling/policy';
 import type { ServiceRoom } from '../scheduling/serviceScheduler';
 import type { EntryView } from './entryView';
 import { estimateViewBytes, findRoom } from './entryView';
@@ -60,7 +60,7 @@
 
 	constructor(
 		private readonly self: InstanceId,
-		private readonly options: FleetViewFigures = defaultFleetViewFigures,
+		private readonly options: FleetViewParameters = defaultFleetViewParameters,
 	) {}
 
 	/** Merges received views and returns those that were newer than the views held. */
@@ -118,7 +118,7 @@
 		if (record === undefined || reported === undefined || meanRoom === undefined) {
 			return meanRoom;
 		}
-		const reportWeight = Math.exp((record.reportedMs - nowMs) / this.options.roomFadeMs);
+		const reportWeight = Math.exp((record.reportedMs - nowMs) / this.options.roomDecayMs);
 		return computeBlendedRoom(meanRoom, reported, reportWeight);
 	}
 
--- a/src/entry/common/lookup/rankEntries.ts
+++ b/src/entry/common/lookup/rankEntries.ts
@@ -12,8 +12,8 @@
 
 import type { IRandom } from '../../../base/common/random';
 import type { InstanceId, RegionName, ZoneName } from '../../../core/ids/common/ids';
-import type { LookupFigures } from '../scheduling/policy';
-import { defaultLookupFigures } from '../scheduling/policy';
+import type { LookupParameters } from '../scheduling/policy';
+import { defaultLookupParameters } from '../scheduling/policy';
 import type { ServiceRoom } from '../scheduling/serviceScheduler';
 
 /** An entry that may be named to a caller. */
@@ -60,12 +60,12 @@
 	context: LookupContext,
 	entries: readonly CandidateEntry[],
 	random: IRandom,
-	options: LookupFigures = defaultLookupFigures,
+	options: LookupParameters = defaultLookupParameters,
 ): readonly InstanceId[] {
 	const tiers = createTiers(context, entries);
 	const ranked: WeightedEntry[] = [];
 	for (const tier of tiers) {
-		if (ranked.length >= options.mostNamed) {
+		if (ranked.length >= options.maxEntries) {
 			break;
 		}
 		weighEntries(tier, options);
@@ -79,7 +79,7 @@
 	const preferred = findPreferredEntry(context, ranked, random, options);
 	const ordered =
 		preferred === undefined ? ranked : [preferred, ...ranked.filter(item => item !== preferred)];
-	return ordered.slice(0, options.mostNamed).map(item => item.entry.instance);
+	return ordered.slice(0, options.maxEntries).map(item => item.entry.instance);
 }
 
 /**
@@ -137,14 +137,15 @@
 }
 
 /** Sets weights from the reported capacities. An unknown capacity counts as the mean, and an old one fades to it. */
-function weighEntries(items: readonly WeightedEntry[], options: LookupFigures): void {
+function weighEntries(items: readonly WeightedEntry[], options: LookupParameters): void {
 	const reported = items.filter(item => item.entry.room !== undefined);
 	for (const item of reported) {
 		item.weight = computeWeight(item.entry.room, options);
 	}
 	const mean = computeMean(reported);
 	for (const item of items) {
-		const reportWeight = item.entry.room === undefined ? 0 : Math.exp(-item.entry.ageMs / options.roomFadeMs);
+		const reportWeight =
+			item.entry.room === undefined ? 0 : Math.exp(-item.entry.ageMs / options.roomDecayMs);
 		item.weight = mean + (item.weight - mean) * reportWeight;
 	}
 }
@@ -154,7 +155,7 @@
 }
 
 /** One plus the free slots, reduced by the wait. The one keeps the weight of a full entry above zero. */
-function computeWeight(room: ServiceRoom | undefined, { halvingWaitMs }: LookupFigures): number {
+function computeWeight(room: ServiceRoom | undefined, { halvingWaitMs }: LookupParameters): number {
 	return room === undefined ? 1 : (room.freeSlots + 1) / (1 + room.waitMs / halvingWaitMs);
 }
 
@@ -163,7 +164,7 @@
 	{ previous }: LookupContext,
 	ranked: readonly WeightedEntry[],
 	random: IRandom,
-	options: LookupFigures,
+	options: LookupParameters,
 ): WeightedEntry | undefined {
 	const current = ranked.find(item => item.entry.instance === previous);
 	const [best] = ranked;
@@ -171,6 +172,6 @@
 		return undefined;
 	}
 	const mean = computeMean(ranked.filter(item => item.tier === best.tier));
-	const isGood = current.tier === best.tier && current.weight >= mean * options.poorShare;
+	const isGood = current.tier === best.tier && current.weight >= mean * options.moveBelowShare;
 	return isGood || random.pickFraction() >= options.moveShare ? current : undefined;
 }
--- a/src/entry/common/scheduling/fairQueue.ts
+++ b/src/entry/common/scheduling/fairQueue.ts
@@ -1,64 +1,66 @@
 /**
- * Weighted fair queueing over organisations by work (start-time fair queueing). Load pattern: one
- * organisation sends ten times its share. Without it the queue fills with that organisation's requests and
- * all others wait behind them; counting requests instead of work would let few long ones do the same.
+ * Weighted fair queueing of requests by organisation and estimated work (start-time fair queueing). When one
+ * organisation sends ten times its share, a plain queue fills with its requests and all other organisations
+ * wait behind them. Counting requests instead of work would let a few long requests have the same effect.
  *
- * Each organisation has a queue of its own and a tag: the work it has been served, divided by its weight.
- * The organisation with the smallest tag is served next. One that was idle starts at the present virtual
- * time, so that it neither saves up a claim nor pays for the past. The work is charged as estimated when a
- * request leaves the queue and corrected when its run ends.
+ * Each organisation has its own queue and a start tag: the work served to it divided by its weight. The
+ * organisation with the smallest tag is served next. The tag of an organisation that was idle starts at the
+ * current virtual time, so idle time earns no credit and earlier work is not charged again. Work is charged
+ * as estimated when a request leaves the queue, and corrected when its run ends.
  */
 
 import { Heap } from 'heap-js';
 import type { OrganisationName } from '../../../core/ids/common/ids';
 import type { SchedulableRequest } from './serviceScheduler';
 
-/** A request in the queue. */
+/** A queued request. */
 export interface QueuedRequest {
 	readonly request: SchedulableRequest;
-	/** Estimated milliseconds of a slot. */
+	/** Estimated work, in milliseconds of slot time. */
 	readonly workMs: number;
-	/** Left the queue without being taken; it is passed over when its turn comes. */
+	/** Removed from the queue without being taken. `take` skips the item. */
 	isRemoved: boolean;
 }
 
+/** The queued requests of one organisation. */
 interface Flow {
 	readonly organisation: OrganisationName;
 	weight: number;
 	items: QueuedRequest[];
-	/** Index of the first item that has not been taken. */
+	/** Index of the first item that hasn't been taken. */
 	head: number;
 	queuedWorkMs: number;
 	queuedCount: number;
-	tag: number;
-	/** Corrections that join the tag at the next take: the tag of a flow in the heap must stand still. */
-	openChargeMs: number;
+	/** Virtual time at which the next request of the flow is served. */
+	startTag: number;
+	/** Charges that are added to `startTag` at the next take. The tag of a flow in the heap must not change. */
+	pendingChargeMs: number;
 	isInHeap: boolean;
 }
 
-/** Taken items stay in the array until this many lie before the head, so that a take costs no copy. */
-const compactAfter = 64;
+/** Number of taken items before the array is compacted, so that most takes don't copy the array. */
+const compactionThreshold = 64;
 
-/** The queue of one class. */
+/** Fair queue of one request class. */
 export class FairQueue {
 	private readonly flows = new Map<OrganisationName, Flow>();
-	private readonly order = new Heap<Flow>((left, right) => left.tag - right.tag);
+	private readonly flowsByStartTag = new Heap<Flow>((left, right) => left.startTag - right.startTag);
 	private virtualTime = 0;
 	private activeWeight = 0;
 	private workMs = 0;
 	private count = 0;
 
-	/** Number of requests that wait. */
+	/** Number of waiting requests. */
 	get size(): number {
 		return this.count;
 	}
 
-	/** Estimated work of all that wait, in milliseconds of a slot. */
+	/** Estimated work of all waiting requests, in milliseconds of slot time. */
 	get queuedWorkMs(): number {
 		return this.workMs;
 	}
 
-	/** Weights of the organisations that have requests waiting, added up. */
+	/** Sum of the weights of all organisations with waiting requests. */
 	get waitingWeight(): number {
 		return this.activeWeight;
 	}
@@ -75,16 +77,16 @@
 		this.workMs += item.workMs;
 		this.count++;
 		if (!flow.isInHeap) {
-			flow.tag = Math.max(flow.tag, this.virtualTime);
+			flow.startTag = Math.max(flow.startTag, this.virtualTime);
 			flow.isInHeap = true;
-			this.order.push(flow);
+			this.flowsByStartTag.push(flow);
 		}
 	}
 
-	/** Takes the next request of the organisation that has been served least. */
+	/** Takes the next request of the organisation with the smallest start tag. */
 	take(): QueuedRequest | undefined {
 		for (;;) {
-			const flow = this.order.pop();
+			const flow = this.flowsByStartTag.pop();
 			if (flow === undefined) {
 				return undefined;
 			}
@@ -93,19 +95,19 @@
 			if (item === undefined) {
 				continue;
 			}
-			this.virtualTime = Math.max(this.virtualTime, flow.tag);
-			flow.openChargeMs += item.workMs;
+			this.virtualTime = Math.max(this.virtualTime, flow.startTag);
+			flow.pendingChargeMs += item.workMs;
 			this.applyCharge(flow);
 			this.noteRemoval(flow, item);
 			if (flow.queuedCount > 0) {
 				flow.isInHeap = true;
-				this.order.push(flow);
+				this.flowsByStartTag.push(flow);
 			}
 			return item;
 		}
 	}
 
-	/** Removes a request that waits; costs nothing to the organisation. */
+	/** Removes a waiting request without charging its organisation. */
 	remove(item: QueuedRequest): void {
 		const flow = this.flows.get(item.request.organisation);
 		if (flow === undefined || item.isRemoved) {
@@ -115,38 +117,39 @@
 		this.noteRemoval(flow, item);
 	}
 
-	/** Charges an organisation for work that was estimated wrongly; a negative amount gives it back. */
+	/** Corrects the charge of an organisation after a wrong estimate. A negative amount is a refund. */
 	addCharge(organisation: OrganisationName, workMs: number): void {
 		const flow = this.flows.get(organisation);
 		if (flow === undefined) {
 			return;
 		}
-		flow.openChargeMs += workMs;
+		flow.pendingChargeMs += workMs;
 		if (!flow.isInHeap) {
 			this.applyCharge(flow);
 		}
 	}
 
 	/**
-	 * The work served before a further request of the organisation would be, in milliseconds of a slot: the
-	 * organisation's own, and what the others are served until its turn, but no more than all that waits.
+	 * Returns the work that is served before a further request of the organisation, in milliseconds of slot
+	 * time: the organisation's own queued work and the work of other organisations that is served first, at
+	 * most all queued work.
 	 */
 	computeWorkAhead(organisation: OrganisationName, weight: number): number {
 		const flow = this.flows.get(organisation);
 		if (flow === undefined || flow.queuedCount === 0) {
-			const lag = flow === undefined ? 0 : this.computeLag(flow);
-			return Math.min(this.workMs, lag * (this.activeWeight + weight));
+			const delay = flow === undefined ? 0 : this.computeVirtualDelay(flow);
+			return Math.min(this.workMs, delay * (this.activeWeight + weight));
 		}
-		const turns = this.computeLag(flow) + flow.queuedWorkMs / flow.weight;
+		const turns = this.computeVirtualDelay(flow) + flow.queuedWorkMs / flow.weight;
 		return Math.min(this.workMs, turns * this.activeWeight);
 	}
 
-	/** Requests of one organisation that wait here. */
-	countOf(organisation: OrganisationName): number {
+	/** Number of waiting requests of one organisation. */
+	countQueued(organisation: OrganisationName): number {
 		return this.flows.get(organisation)?.queuedCount ?? 0;
 	}
 
-	/** Whether more of an organisation's work waits here than its weight gives it of all that waits. */
+	/** Whether an organisation's part of the queued work exceeds its part by weight. */
 	isOverShare(organisation: OrganisationName): boolean {
 		const flow = this.flows.get(organisation);
 		if (flow === undefined || flow.queuedCount === 0) {
@@ -157,28 +160,31 @@
 	}
 
 	/**
-	 * Walks what waits, each organisation's in its order, with the work served before each; requests that
-	 * the callback wants out are removed.
+	 * Calls `isRemovable` for each waiting request, in order within an organisation, with the work that is
+	 * served before the request, and removes the requests for which it returns true.
 	 */
-	removeWhere(isOut: (item: QueuedRequest, workAheadMs: number) => boolean): void {
+	removeWhere(isRemovable: (item: QueuedRequest, workAheadMs: number) => boolean): void {
 		for (const flow of this.flows.values()) {
 			if (flow.queuedCount > 0) {
-				this.removeFromFlow(flow, isOut);
+				this.removeFromFlow(flow, isRemovable);
 			}
 		}
 	}
 
-	private removeFromFlow(flow: Flow, isOut: (item: QueuedRequest, workAheadMs: number) => boolean): void {
+	private removeFromFlow(
+		flow: Flow,
+		isRemovable: (item: QueuedRequest, workAheadMs: number) => boolean,
+	): void {
 		let ownMs = 0;
-		const lag = this.computeLag(flow);
+		const delay = this.computeVirtualDelay(flow);
 		const kept: QueuedRequest[] = [];
 		for (const item of flow.items.slice(flow.head)) {
 			if (item.isRemoved) {
 				continue;
 			}
 			const othersMs = this.workMs - item.workMs;
-			const aheadMs = Math.min(othersMs, (lag + ownMs / flow.weight) * this.activeWeight);
-			if (isOut(item, aheadMs)) {
+			const aheadMs = Math.min(othersMs, (delay + ownMs / flow.weight) * this.activeWeight);
+			if (isRemovable(item, aheadMs)) {
 				this.remove(item);
 				continue;
 			}
@@ -190,19 +196,19 @@
 	}
 
 	private applyCharge(flow: Flow): void {
-		flow.tag = Math.max(this.virtualTime, flow.tag + flow.openChargeMs / flow.weight);
-		flow.openChargeMs = 0;
+		flow.startTag = Math.max(this.virtualTime, flow.startTag + flow.pendingChargeMs / flow.weight);
+		flow.pendingChargeMs = 0;
 	}
 
-	/** How far an organisation's turn lies ahead, its open charges included. */
-	private computeLag(flow: Flow): number {
-		return Math.max(0, flow.tag + flow.openChargeMs / flow.weight - this.virtualTime);
+	/** Returns the virtual time until an organisation is served next, pending charges included. */
+	private computeVirtualDelay(flow: Flow): number {
+		return Math.max(0, flow.startTag + flow.pendingChargeMs / flow.weight - this.virtualTime);
 	}
 
 	private takeHead(flow: Flow): QueuedRequest | undefined {
 		while (flow.head < flow.items.length) {
 			const item = flow.items[flow.head++];
-			if (flow.head >= compactAfter) {
+			if (flow.head >= compactionThreshold) {
 				flow.items.splice(0, flow.head);
 				flow.head = 0;
 			}
@@ -240,8 +246,8 @@
 				head: 0,
 				queuedWorkMs: 0,
 				queuedCount: 0,
-				tag: 0,
-				openChargeMs: 0,
+				startTag: 0,
+				pendingChargeMs: 0,
 				isInHeap: false,
 			};
 			this.flows.set(organisation, flow);
--- a/src/entry/common/scheduling/freeTargets.ts
+++ b/src/entry/common/scheduling/freeTargets.ts
@@ -1,16 +1,16 @@
 /**
- * The targets that a class of requests may use now, kept up to date as attempts start and end. Walking all
- * targets for each decision costs a quarter of a millisecond at 890 of them, most of all when the service
- * is full and decisions come fastest.
+ * The set of targets that a request class may use now, updated as attempts start and end. Scanning all targets
+ * for each decision takes a quarter of a millisecond with 890 targets, and decisions are most frequent when
+ * the service is full.
  */
 
 import type { IRandom } from '../../../base/common/random';
 import type { TargetId } from '../../../core/ids/common/ids';
 
-/** A set that members can be drawn from at random in constant time. */
+/** A set of targets with random selection, insertion and removal in constant time. */
 export class FreeTargets<TTarget extends { readonly id: TargetId }> {
 	private readonly members: TTarget[] = [];
-	private readonly places = new Map<TargetId, number>();
+	private readonly indexes = new Map<TargetId, number>();
 
 	get list(): readonly TTarget[] {
 		return this.members;
@@ -21,35 +21,35 @@
 	}
 
 	set(target: TTarget, isFree: boolean): void {
-		const place = this.places.get(target.id);
-		if (isFree && place === undefined) {
-			this.places.set(target.id, this.members.length);
+		const index = this.indexes.get(target.id);
+		if (isFree && index === undefined) {
+			this.indexes.set(target.id, this.members.length);
 			this.members.push(target);
-		} else if (!isFree && place !== undefined) {
-			this.removeAt(place);
+		} else if (!isFree && index !== undefined) {
+			this.removeAt(index);
 		}
 	}
 
 	clear(): void {
 		this.members.length = 0;
-		this.places.clear();
+		this.indexes.clear();
 	}
 
 	pick(random: IRandom): TTarget | undefined {
 		return this.members[random.pickBelow(this.members.length)];
 	}
 
-	/** Puts the last member in the place of the removed one. */
-	private removeAt(place: number): void {
-		const removed = this.members[place];
+	/** Removes in constant time: moves the last member to the index of the removed member. */
+	private removeAt(index: number): void {
+		const removed = this.members[index];
 		const last = this.members.pop();
 		if (removed === undefined || last === undefined) {
 			return;
 		}
-		this.places.delete(removed.id);
+		this.indexes.delete(removed.id);
 		if (last !== removed) {
-			this.members[place] = last;
-			this.places.set(last.id, place);
+			this.members[index] = last;
+			this.indexes.set(last.id, index);
 		}
 	}
 }
--- a/src/entry/common/scheduling/targetPool.ts
+++ b/src/entry/common/scheduling/targetPool.ts
@@ -1,10 +1,11 @@
 /**
- * The targets of one service as this entry may use them now. Keeps what is learnt of a target across new
- * lists, pauses targets that refuse or cannot be reached, and adds up slots for the prediction of waits.
+ * The targets of one service as this entry can use them now. The pool keeps the state of a target when the
+ * list of targets is updated, pauses targets that refuse requests or can't be reached, and adds up slots for
+ * the prediction of waits.
  *
- * A pause answers a target that dies or leaves between two lists. Without it the freed slots of the dead
- * target make it the least loaded one, and it draws every new request (a black hole). After a pause one
- * attempt at a time tries whether the target is back.
+ * Pauses cover a target that crashes or leaves between two lists. Without a pause, the freed slots of a crashed
+ * target make it the least loaded target, so it attracts every new request (a black hole). After a pause, one
+ * attempt at a time checks whether the target is back.
  */
 
 import { LRUCache } from 'lru-cache';
@@ -12,42 +13,45 @@
 import type { TargetId } from '../../../core/ids/common/ids';
 import type { RequestClass } from '../../../core/requests/common/requestClass';
 import { requestClasses } from '../../../core/requests/common/requestClass';
-import { FadingSum } from './fadingSum';
+import { DecayingSum } from './decayingSum';
 import { FreeTargets } from './freeTargets';
+import { OutlierDetector } from './outlierDetector';
 import type { SchedulingPolicy } from './policy';
 import type { RankedTarget } from './prefixRanking';
 import { computeTextHash, findBestRanked } from './prefixRanking';
 import type { ReportedLoad, SchedulableTarget } from './serviceScheduler';
-import { TargetSpeed } from './targetSpeed';
 import { TargetUse } from './targetUse';
 
-/** Prefixes whose ranking is remembered; a ranking takes some hundred bytes. */
-const mostRankings = 4_096;
+/** Number of cached prefix rankings. A ranking takes a few hundred bytes. */
+const maxRankings = 4_096;
 
-/** A target with what the choice needs of it. */
+/** A target with its state at this entry. */
 export interface PooledTarget extends RankedTarget {
 	readonly use: TargetUse;
 }
 
-/** Holds the targets of one service at one entry. */
+/** The targets of one service at one entry. */
 export class TargetPool {
-	readonly speed: TargetSpeed;
-	/** Work sent to all targets of late. */
-	readonly recentWork: FadingSum;
+	readonly outlierDetector: OutlierDetector;
+	/** Work recently sent to all targets. */
+	readonly recentWork: DecayingSum;
 	private readonly byId = new Map<TargetId, PooledTarget>();
 	private readonly free = new Map<RequestClass, FreeTargets<PooledTarget>>();
-	private inUse: readonly PooledTarget[] = [];
+	private activeTargets: readonly PooledTarget[] = [];
 	private nominalSlots = 0;
-	/** Those of this entry's own availability zone, or all where it has none: prefixes are kept near. */
-	private near: readonly PooledTarget[] = [];
-	/** Rankings by prefix, since a prefix comes again; forgotten when the targets change. */
-	private readonly rankings = new LRUCache<string, readonly PooledTarget[]>({ max: mostRankings });
+	/**
+	 * Targets for requests with a prefix: the targets in this entry's availability zone, or all targets if it
+	 * has none.
+	 */
+	private affinityTargets: readonly PooledTarget[] = [];
+	/** Cached rankings by prefix, cleared when the targets change. */
+	private readonly rankings = new LRUCache<string, readonly PooledTarget[]>({ max: maxRankings });
 	private readonly paused = new Set<PooledTarget>();
-	/** When the first of the paused targets may be tried. */
-	private nextReturnMs = Number.POSITIVE_INFINITY;
+	/** Earliest end of a pause among the paused targets, in monotonic milliseconds. */
+	private nextResumeMs = Number.POSITIVE_INFINITY;
 	private slots = 0;
-	private reportFadeMs = 1;
-	private neutralOthers: number | undefined;
+	private reportDecayMs = 1;
+	private meanOtherRequests: number | undefined;
 
 	constructor(
 		private readonly policy: SchedulingPolicy,
@@ -56,26 +60,26 @@
 		for (const requestClass of requestClasses) {
 			this.free.set(requestClass, new FreeTargets());
 		}
-		this.recentWork = new FadingSum(policy.choice.loadFadeMs);
-		this.speed = new TargetSpeed(policy.speed);
+		this.recentWork = new DecayingSum(policy.choice.loadDecayMs);
+		this.outlierDetector = new OutlierDetector(policy.outlierDetection);
 	}
 
-	/** Targets that take new work, paused and slow ones included. */
+	/** Targets that accept new requests, including paused and ejected targets. */
 	get targets(): readonly PooledTarget[] {
-		return this.inUse;
+		return this.activeTargets;
 	}
 
-	/** Requests that all targets in use may run for this entry at a time. */
+	/** Number of requests that all active targets may run for this entry at a time. */
 	get totalSlots(): number {
 		return this.slots;
 	}
 
-	/** A target's part of all slots, before limits and shares. */
-	computePart({ target }: TargetUse): number {
+	/** Returns a target's part of all slots, before limits and shares. */
+	computeSlotShare({ target }: TargetUse): number {
 		return target.slots / this.nominalSlots;
 	}
 
-	/** This entry's part of all slots. */
+	/** Part of all slots that this entry may use. */
 	get meanShare(): number {
 		return this.nominalSlots === 0 ? 1 : Math.min(1, this.slots / this.nominalSlots);
 	}
@@ -90,25 +94,28 @@
 		for (const target of targets) {
 			this.putTarget(target);
 		}
-		this.inUse = [...this.byId.values()].filter(pooled => !pooled.use.target.isLeaving);
-		const sameZone = this.inUse.filter(pooled => pooled.use.target.isSameZone);
-		this.near = sameZone.length > 0 ? sameZone : this.inUse;
-		this.speed.setTargets(this.inUse.map(pooled => pooled.id));
+		this.activeTargets = [...this.byId.values()].filter(pooled => !pooled.use.target.isLeaving);
+		const sameZone = this.activeTargets.filter(pooled => pooled.use.target.isSameZone);
+		this.affinityTargets = sameZone.length > 0 ? sameZone : this.activeTargets;
+		this.outlierDetector.setTargets(this.activeTargets.map(pooled => pooled.id));
 		this.rankings.clear();
 		this.updateTotals();
 		this.updateAllFree(nowMs);
 	}
 
-	/** Targets that may run a request of the class now; one may have become unfree with time. */
+	/**
+	 * Targets that may run a request of the class now. The set can still contain a target that is no longer
+	 * free.
+	 */
 	getFree(requestClass: RequestClass): FreeTargets<PooledTarget> {
 		const free = this.free.get(requestClass);
 		if (free === undefined) {
-			throw new Error(`no class ${requestClass}`);
+			throw new Error(`unknown request class ${requestClass}`);
 		}
 		return free;
 	}
 
-	/** Whether any target takes a request of the class now. */
+	/** Whether any target can run a request of the class now. */
 	hasFree(requestClass: RequestClass, nowMs: number): boolean {
 		this.checkPaused(nowMs);
 		const free = this.getFree(requestClass);
@@ -125,31 +132,34 @@
 	}
 
 	isFree({ id, use }: PooledTarget, requestClass: RequestClass, nowMs: number): boolean {
-		if (use.target.isLeaving || use.isPaused(nowMs) || this.speed.isAvoided(id)) {
+		if (use.target.isLeaving || use.isPaused(nowMs) || this.outlierDetector.isEjected(id)) {
 			return false;
 		}
-		return use.hasRoom(this.policy.classes[requestClass].reservedShare, this.speed.getSlowness(id));
+		return use.hasRoom(this.policy.classes[requestClass].reservedShare, this.outlierDetector.getSlowness(id));
 	}
 
-	/** Something about the target changed: an attempt started or ended, it was paused or is alive. */
+	/**
+	 * Updates the sets of free targets after an attempt at the target started or ended, or the target was
+	 * paused or answered.
+	 */
 	updateFree(target: PooledTarget, nowMs: number): void {
 		if (this.byId.get(target.id) !== target) {
 			return;
 		}
 		if (target.use.isPaused(nowMs)) {
 			this.paused.add(target);
-			this.nextReturnMs = Math.min(this.nextReturnMs, target.use.pausedUntilMs);
+			this.nextResumeMs = Math.min(this.nextResumeMs, target.use.pausedUntilMs);
 		}
 		for (const [requestClass, free] of this.free) {
 			free.set(target, this.isFree(target, requestClass, nowMs));
 		}
 	}
 
-	/** The best targets for a prefix among the near ones. */
+	/** Returns the highest ranked targets for a prefix. */
 	findRanked(prefixKey: string): readonly PooledTarget[] {
 		let ranked = this.rankings.get(prefixKey);
 		if (ranked === undefined) {
-			ranked = findBestRanked(this.near, prefixKey, this.policy.choice.affinityDepth);
+			ranked = findBestRanked(this.affinityTargets, prefixKey, this.policy.choice.maxAffinityTargets);
 			this.rankings.set(prefixKey, ranked);
 		}
 		return ranked;
@@ -167,61 +177,72 @@
 		}
 	}
 
-	/** Work of others on a target, in requests; without any report the others are taken to use it as we do. */
-	estimateOthers(use: TargetUse, nowMs: number): number {
-		const asWeDo = use.running * (1 / use.target.share - 1);
-		return use.estimateOthers(this.neutralOthers ?? asWeDo, this.reportFadeMs, nowMs);
+	/**
+	 * Estimates the requests of other entries at a target. Without any report, other entries are assumed to
+	 * use their shares as this entry does.
+	 */
+	estimateOtherRequests(use: TargetUse, nowMs: number): number {
+		const assumedRequests = use.running * (1 / use.target.share - 1);
+		return use.estimateOtherRequests(this.meanOtherRequests ?? assumedRequests, this.reportDecayMs, nowMs);
 	}
 
-	/** An attempt was refused or found no connection. */
-	notePause(use: TargetUse, nowMs: number): void {
-		const { firstMs, longestMs } = this.policy.pause;
-		const pauseMs = Math.min(longestMs, firstMs * 2 ** use.failuresInRow);
-		use.failuresInRow++;
+	/** Pauses a target after a failed attempt, for longer with each consecutive failure. */
+	pauseTarget(use: TargetUse, nowMs: number): void {
+		const { initialMs, maxMs } = this.policy.pause;
+		const pauseMs = Math.min(maxMs, initialMs * 2 ** use.consecutiveFailures);
+		use.consecutiveFailures++;
 		use.pausedUntilMs = Math.max(use.pausedUntilMs, nowMs + pauseMs * (1 + this.random.pickFraction() / 2));
 	}
 
-	/** The target answered. */
-	noteAlive(use: TargetUse): void {
-		use.failuresInRow = 0;
+	/** Ends the pause of a target that answered. */
+	clearFailures(use: TargetUse): void {
+		use.consecutiveFailures = 0;
 		use.pausedUntilMs = 0;
 	}
 
-	/** Work was sent to a target. One that failed before is tried by one attempt: others stay away until that one's end. */
-	noteStart(use: TargetUse, workMs: number, nowMs: number): void {
+	/**
+	 * Records work sent to a target. After failures, a single attempt checks whether the target is back: the
+	 * target stays paused until that attempt ends, at most for the longest pause.
+	 */
+	recordStart(use: TargetUse, workMs: number, nowMs: number): void {
 		this.recentWork.add(workMs, nowMs);
 		use.recentWork.add(workMs, nowMs);
-		if (use.failuresInRow > 0) {
-			use.pausedUntilMs = nowMs + this.policy.pause.longestMs;
+		if (use.consecutiveFailures > 0) {
+			use.pausedUntilMs = nowMs + this.policy.pause.maxMs;
 		}
 	}
 
-	/** Whether every target has failed several times in a row and is paused for it. */
+	/** Whether all targets are paused after several consecutive failures each. */
 	isDown(nowMs: number): boolean {
-		const { downAfter } = this.policy.pause;
-		return this.inUse.every(({ use }) => use.failuresInRow >= downAfter && use.isPaused(nowMs));
+		const { downAfterFailures } = this.policy.pause;
+		return this.activeTargets.every(
+			({ use }) => use.consecutiveFailures >= downAfterFailures && use.isPaused(nowMs),
+		);
 	}
 
-	/** Compares speeds and gives back limits; called at each check. `runMs` is the mean run of what runs. */
+	/**
+	 * Compares speeds, raises lowered limits and refreshes the totals. `runMs` is the mean run time of
+	 * running requests.
+	 */
 	update(elapsedMs: number, runMs: number, nowMs: number): void {
-		this.reportFadeMs = Math.max(1, runMs * this.policy.choice.reportFadeRuns);
-		this.speed.compare();
-		for (const { use } of this.inUse) {
-			use.noteQuiet(elapsedMs);
+		this.reportDecayMs = Math.max(1, runMs * this.policy.choice.reportDecayRuns);
+		this.outlierDetector.compare();
+		for (const { use } of this.activeTargets) {
+			use.advanceRecovery(elapsedMs);
 		}
 		this.updateTotals();
 		this.updateAllFree(nowMs);
 	}
 
-	/** Looks again at targets whose pause has ended. */
+	/** Updates the targets whose pause has ended. */
 	private checkPaused(nowMs: number): void {
-		if (nowMs < this.nextReturnMs) {
+		if (nowMs < this.nextResumeMs) {
 			return;
 		}
-		this.nextReturnMs = Number.POSITIVE_INFINITY;
+		this.nextResumeMs = Number.POSITIVE_INFINITY;
 		for (const target of this.paused) {
 			if (target.use.isPaused(nowMs)) {
-				this.nextReturnMs = Math.min(this.nextReturnMs, target.use.pausedUntilMs);
+				this.nextResumeMs = Math.min(this.nextResumeMs, target.use.pausedUntilMs);
 			} else {
 				this.paused.delete(target);
 				this.updateFree(target, nowMs);
@@ -233,7 +254,7 @@
 		for (const free of this.free.values()) {
 			free.clear();
 		}
-		for (const target of this.inUse) {
+		for (const target of this.activeTargets) {
 			this.updateFree(target, nowMs);
 		}
 	}
@@ -243,28 +264,28 @@
 		let nominalSlots = 0;
 		let others = 0;
 		let reports = 0;
-		for (const { use } of this.inUse) {
-			slots += this.speed.isAvoided(use.target.id) ? 0 : use.limit;
+		for (const { use } of this.activeTargets) {
+			slots += this.outlierDetector.isEjected(use.target.id) ? 0 : use.limit;
 			nominalSlots += use.target.slots;
-			const reported = use.getReportedOthers();
+			const reported = use.getReportedOtherRequests();
 			others += reported ?? 0;
 			reports += reported === undefined ? 0 : 1;
 		}
-		this.slots = slots === 0 ? this.addLeastSlot() : slots;
+		this.slots = slots === 0 ? this.addMinimumSlot() : slots;
 		this.nominalSlots = nominalSlots;
-		this.neutralOthers = reports === 0 ? undefined : others / reports;
+		this.meanOtherRequests = reports === 0 ? undefined : others / reports;
 	}
 
-	/** Gives the entry one slot at the target where it is nearest to one; gives the slots it has then. */
-	private addLeastSlot(): number {
-		let nearest: TargetUse | undefined;
-		for (const { use } of this.inUse) {
-			if (nearest === undefined || use.claim > nearest.claim) {
-				nearest = use;
+	/** Allows one slot at the target with the largest fractional limit. Returns the number of usable slots. */
+	private addMinimumSlot(): number {
+		let largest: TargetUse | undefined;
+		for (const { use } of this.activeTargets) {
+			if (largest === undefined || use.fractionalLimit > largest.fractionalLimit) {
+				largest = use;
 			}
 		}
-		nearest?.addLeastSlot();
-		return nearest === undefined ? 0 : 1;
+		largest?.setLimitToOne();
+		return largest === undefined ? 0 : 1;
 	}
 
 	private putTarget(target: SchedulableTarget): void {
@@ -277,7 +298,7 @@
 			target,
 			this.policy.limit,
 			this.random.pickFraction(),
-			this.policy.choice.loadFadeMs,
+			this.policy.choice.loadDecayMs,
 		);
 		this.byId.set(target.id, { id: target.id, idHash: computeTextHash(target.id), use });
 	}
--- a/src/entry/common/sendAway/costBasedSendAwayPolicy.ts
+++ b/src/entry/common/sendAway/costBasedSendAwayPolicy.ts
@@ -12,8 +12,8 @@
 
 import type { IRandom } from '../../../base/common/random';
 import type { InstanceId, RegionName } from '../../../core/ids/common/ids';
-import type { SendAwayFigures } from '../scheduling/policy';
-import { defaultSendAwayFigures } from '../scheduling/policy';
+import type { SendAwayParameters } from '../scheduling/policy';
+import { defaultSendAwayParameters } from '../scheduling/policy';
 import { RemotePeer } from './remotePeer';
 import { RemoteRegion } from './remoteRegion';
 import type { ISendAwayPolicy, RemoteOffer, SendAwayContext, SendAwayDecision } from './sendAwayPolicy';
@@ -37,7 +37,7 @@
 
 	constructor(
 		private readonly random: IRandom,
-		private readonly options: SendAwayFigures = defaultSendAwayFigures,
+		private readonly options: SendAwayParameters = defaultSendAwayParameters,
 	) {
 		this.share = new SendAwayShare(options);
 		this.meanAnswerBytes = options.initialAnswerBytes;
@@ -112,7 +112,7 @@
 	private listOffersByCost(context: SendAwayContext, nowMs: number): OfferWithCost[] {
 		const offersByCost: OfferWithCost[] = [];
 		for (const offer of context.offers) {
-			if (offer.ageMs > this.options.longestOfferAgeMs || offer.linkBytesPerMs <= 0) {
+			if (offer.ageMs > this.options.maxOfferAgeMs || offer.linkBytesPerMs <= 0) {
 				continue;
 			}
 			this.getRegion(offer.region).recordOffer(nowMs - offer.ageMs);
@@ -131,7 +131,7 @@
 	private computeMaxInFlight(offer: RemoteOffer, nowMs: number): number {
 		const peer = this.peers.get(offer.instance);
 		const inFlightAtOffer = peer?.countInFlightAt(nowMs - offer.ageMs - offer.oneWayMs) ?? 0;
-		return Math.ceil((offer.room.freeSlots + inFlightAtOffer) * this.options.claimShare);
+		return Math.ceil((offer.room.freeSlots + inFlightAtOffer) * this.options.maxRoomShare);
 	}
 
 	private isUsable(offer: RemoteOffer, { request }: SendAwayContext, nowMs: number): boolean {
@@ -160,7 +160,7 @@
 					this.peers.delete(other);
 				}
 			}
-			peer = new RemotePeer(region, 2 * this.options.longestOfferAgeMs);
+			peer = new RemotePeer(region, 2 * this.options.maxOfferAgeMs);
 			this.peers.set(instance, peer);
 		}
 		return peer;
--- a/src/entry/common/sendAway/remoteRegion.ts
+++ b/src/entry/common/sendAway/remoteRegion.ts
@@ -7,8 +7,8 @@
  * must compute each prefix again.
  */
 
-import type { SendAwayFigures } from '../scheduling/policy';
-import { FadingSum } from '../scheduling/fadingSum';
+import type { SendAwayParameters } from '../scheduling/policy';
+import { DecayingSum } from '../scheduling/decayingSum';
 import { LinkBudget } from './linkBudget';
 
 /** Weight of one request in the moving average of durations. */
@@ -19,22 +19,22 @@
 /** The state of one remote region at one sending entry. */
 export class RemoteRegion {
 	readonly link: LinkBudget;
-	private readonly recentAnswers: FadingSum;
+	private readonly recentAnswers: DecayingSum;
 	private inFlight = 0;
 	private meanDurationMs: number | undefined;
 	private inFlightLimit: number;
 	private limitChangedMs = Number.NEGATIVE_INFINITY;
 	private lastOfferMs = Number.NEGATIVE_INFINITY;
 
-	constructor(private readonly options: SendAwayFigures) {
-		this.link = new LinkBudget(options.linkBurstMs, options.linkUse);
-		this.recentAnswers = new FadingSum(options.warmthFadeMs);
+	constructor(private readonly options: SendAwayParameters) {
+		this.link = new LinkBudget(options.linkBurstMs, options.linkUtilization);
+		this.recentAnswers = new DecayingSum(options.cacheDecayMs);
 		this.inFlightLimit = options.firstStep;
 	}
 
 	/** Records that the region offered capacity. After an absence the in-flight limit restarts at its first step. */
 	recordOffer(nowMs: number): void {
-		if (nowMs - this.lastOfferMs > this.options.absenceMs) {
+		if (nowMs - this.lastOfferMs > this.options.slowStartAfterSilenceMs) {
 			this.inFlightLimit = this.options.firstStep;
 			this.limitChangedMs = nowMs;
 		}
@@ -72,7 +72,7 @@
 		const meanMs = this.meanDurationMs ?? durationMs;
 		this.meanDurationMs = meanMs + durationSmoothing * (durationMs - meanMs);
 		const isFast = durationMs <= meanMs * slowFactor;
-		if (wasAtLimit && isFast && nowMs - this.limitChangedMs >= this.options.stepMs) {
+		if (wasAtLimit && isFast && nowMs - this.limitChangedMs >= this.options.slowStartStepMs) {
 			this.inFlightLimit *= 2;
 			this.limitChangedMs = nowMs;
 		}
--- a/src/entry/common/sendAway/sendAwayShare.ts
+++ b/src/entry/common/sendAway/sendAwayShare.ts
@@ -7,7 +7,7 @@
  * off instead of oscillating around that point.
  */
 
-import type { SendAwayFigures } from '../scheduling/policy';
+import type { SendAwayParameters } from '../scheduling/policy';
 
 /** Upper bound on the time between two decisions that one update takes into account. */
 const maxUpdateGapMs = 1_000;
@@ -17,7 +17,7 @@
 	private share = 0;
 	private updatedMs: number | undefined;
 
-	constructor(private readonly options: SendAwayFigures) {}
+	constructor(private readonly options: SendAwayParameters) {}
 
 	/**
 	 * Updates the share from the time that sending a request would save beyond the margin (negative when sending
--- a/src/entry/common/sendAway/test/costBasedSendAwayPolicy.test.ts
+++ b/src/entry/common/sendAway/test/costBasedSendAwayPolicy.test.ts
@@ -1,6 +1,6 @@
 import { SeededRandom } from '../../../../base/common/random';
 import type { InstanceId, RegionName } from '../../../../core/ids/common/ids';
-import { defaultSendAwayFigures } from '../../scheduling/policy';
+import { defaultSendAwayParameters } from '../../scheduling/policy';
 import { createRequest } from '../../scheduling/test/fixtures';
 import { CostBasedSendAwayPolicy } from '../costBasedSendAwayPolicy';
 import type { RemoteOffer, SendAwayContext } from '../sendAwayPolicy';
@@ -66,7 +66,7 @@
 	// Offers lag by seconds. If all requests were sent as soon as sending pays off, the other region would be
 	// overloaded before its next offer shows it, and all requests would return at once.
 	it('raises and lowers the share slowly', () => {
-		const options = { ...defaultSendAwayFigures, firstStep: 10_000 };
+		const options = { ...defaultSendAwayParameters, firstStep: 10_000 };
 		const sends = countSends(new CostBasedSendAwayPolicy(new SeededRandom(1), options), 40, nowMs =>
 			createContext(nowMs < 20_000 ? 5_000 : 0, nowMs, [createOffer()]),
 		);
