--- a/src/entry/common/workScheduling/lineEstimates.ts
+++ b/src/entry/common/workScheduling/queueEstimates.ts
@@ -4,7 +4,7 @@
  */
 
 import type { SchedulableRequest } from '../scheduling/serviceScheduler';
-import type { TargetWork } from './targetWork';
+import type { TargetWork } from './targetLoadModel';
 import type { WorkPolicy } from './workPolicy';
 import type { WorkItem, WorkQueue } from './workQueue';
 import { getUrgency } from './workQueue';
--- a/src/entry/common/workScheduling/targetChooser.ts
+++ b/src/entry/common/workScheduling/targetChooser.ts
@@ -20,7 +20,7 @@
 import { findSharedPart } from '../prompts/promptShape';
 import { findBestRanked } from '../scheduling/prefixRanking';
 import type { SchedulableRequest } from '../scheduling/serviceScheduler';
-import type { TargetWork } from './targetWork';
+import type { TargetWork } from './targetLoadModel';
 import type { WorkChoiceFigures, WorkEstimateFigures } from './workPolicy';
 import { getDueMs, getUrgency } from './workQueue';
 
--- a/src/entry/common/workScheduling/targetWork.ts
+++ b/src/entry/common/workScheduling/targetLoadModel.ts
@@ -17,10 +17,10 @@
 import { computeTextHash } from '../scheduling/prefixRanking';
 import type { ReportedLoad, SchedulableRequest, SchedulableTarget } from '../scheduling/serviceScheduler';
 import { AttemptEnd } from '../scheduling/serviceScheduler';
-import type { ColdTurns } from './coldAllowance';
-import { ColdAllowance } from './coldAllowance';
-import { PromptCache } from './promptCache';
-import { UnansweredReading } from './unansweredReading';
+import type { ColdTurns } from './coldTargetRateLimiter';
+import { ColdAllowance } from './coldTargetRateLimiter';
+import { PromptCache } from './prefixCacheModel';
+import { UnansweredReading } from './pendingPrefill';
 import type { WorkEstimateFigures, WorkQueueFigures, WorkRetryFigures } from './workPolicy';
 import { getUrgency } from './workQueue';
 
--- a/src/entry/common/workScheduling/test/coldAllowance.test.ts
+++ b/src/entry/common/workScheduling/test/coldTargetRateLimiter.test.ts
@@ -1,5 +1,5 @@
-import type { ColdTurns } from '../coldAllowance';
-import { ColdAllowance } from '../coldAllowance';
+import type { ColdTurns } from '../coldTargetRateLimiter';
+import { ColdAllowance } from '../coldTargetRateLimiter';
 
 const requestsPerSecond = 2.4;
 const coldMs = 6_000;
--- a/src/entry/common/workScheduling/test/retryAllowance.test.ts
+++ b/src/entry/common/workScheduling/test/fleetRetryBudget.test.ts
@@ -1,5 +1,5 @@
 import { SeededRandom } from '../../../../base/common/random';
-import { RetryAllowance } from '../retryAllowance';
+import { RetryAllowance } from '../fleetRetryBudget';
 import { createWorkPolicy } from '../workPolicy';
 
 const entries = 6;
--- a/src/entry/common/workScheduling/test/unansweredReading.test.ts
+++ b/src/entry/common/workScheduling/test/pendingPrefill.test.ts
@@ -1,4 +1,4 @@
-import { UnansweredReading } from '../unansweredReading';
+import { UnansweredReading } from '../pendingPrefill';
 
 const fadeMs = 400;
 const question = 0;
--- a/src/entry/common/workScheduling/test/targetChooser.test.ts
+++ b/src/entry/common/workScheduling/test/targetChooser.test.ts
@@ -3,9 +3,9 @@
 import type { SchedulableRequest } from '../../scheduling/serviceScheduler';
 import type { WorkChoice } from '../targetChooser';
 import { WorkTargetChooser } from '../targetChooser';
-import { TargetWork } from '../targetWork';
+import { TargetWork } from '../targetLoadModel';
 import { defaultWorkPolicy } from '../workPolicy';
-import { createEngineTarget, createPromptedRequest } from './engineWorld';
+import { createEngineTarget, createPromptedRequest } from './engineSimulation';
 
 const { choice, estimate, queue } = defaultWorkPolicy;
 
--- a/src/entry/common/workScheduling/test/workScheduler.test.ts
+++ b/src/entry/common/workScheduling/test/workScheduler.test.ts
@@ -3,8 +3,8 @@
 import { FifoScheduler } from '../../scheduling/fifoScheduler';
 import type { IServiceScheduler } from '../../scheduling/serviceScheduler';
 import { WorkScheduler } from '../workScheduler';
-import type { EngineOptions, KindResult, RequestKind, WorldResult } from './engineWorld';
-import { createEngineTarget, createPromptedRequest, runEngines } from './engineWorld';
+import type { EngineOptions, KindResult, RequestKind, WorldResult } from './engineSimulation';
+import { createEngineTarget, createPromptedRequest, runEngines } from './engineSimulation';
 
 const seeds = [1, 2, 3];
 const playedSeconds = 12;
--- a/src/entry/common/workScheduling/workScheduler.ts
+++ b/src/entry/common/workScheduling/workScheduler.ts
@@ -22,11 +22,11 @@
 	TargetRoom,
 } from '../scheduling/serviceScheduler';
 import { AttemptEnd, ScheduleDecisionKind } from '../scheduling/serviceScheduler';
-import { LineEstimates } from './lineEstimates';
-import { RetryAllowance } from './retryAllowance';
+import { LineEstimates } from './queueEstimates';
+import { RetryAllowance } from './fleetRetryBudget';
 import type { WorkChoice } from './targetChooser';
 import { WorkTargetChooser } from './targetChooser';
-import { TargetWork } from './targetWork';
+import { TargetWork } from './targetLoadModel';
 import type { WorkPolicy } from './workPolicy';
 import { defaultWorkPolicy } from './workPolicy';
 import type { WaitingRequest, WorkItem } from './workQueue';
