--- a/src/entry/common/intake/requestIntake.ts
+++ b/src/entry/common/intake/requestIntake.ts
@@ -30,20 +30,20 @@
 /** Limits on the wait of a request for its start. */
 export interface IntakeLimits {
 	/** Longest wait while the queue has been non-empty for at most this time, in milliseconds. */
-	readonly longestBurstWaitMs: number;
+	readonly maxBurstWaitMs: number;
 	/** Longest wait once the queue has been non-empty for more than `longestBurstWaitMs`, in milliseconds. */
-	readonly longestStandingWaitMs: number;
+	readonly maxStandingWaitMs: number;
 	/** Maximum number of consecutive turns in which an accepted connection delays starts. */
-	readonly mostConsecutiveAcceptTurns: number;
+	readonly maxConsecutiveAcceptTurns: number;
 	/** Maximum number of requests refused in one turn. */
-	readonly mostRefusalsPerTurn: number;
+	readonly maxRefusalsPerTurn: number;
 }
 
 export const defaultIntakeLimits: IntakeLimits = {
-	longestBurstWaitMs: 600,
-	longestStandingWaitMs: 150,
-	mostConsecutiveAcceptTurns: 16,
-	mostRefusalsPerTurn: 4,
+	maxBurstWaitMs: 600,
+	maxStandingWaitMs: 150,
+	maxConsecutiveAcceptTurns: 16,
+	maxRefusalsPerTurn: 4,
 };
 
 /** Records how long a request waited until it was started, refused or removed, in milliseconds. */
@@ -59,7 +59,7 @@
 }
 
 /** Retry delays of refused requests are uniform between 0.5 and 1.5 times `longestBurstWaitMs`. */
-const leastRetryFactor = 0.5;
+const minRetryFactor = 0.5;
 
 /** Queue of requests that have been read and wait to be started, shared by all servers of an entry. */
 export class RequestIntake {
@@ -124,7 +124,7 @@
 
 	private handleTurn(): void {
 		const isAccepting =
-			this.hasAcceptedConnection && this.consecutiveAcceptTurns < this.limits.mostConsecutiveAcceptTurns;
+			this.hasAcceptedConnection && this.consecutiveAcceptTurns < this.limits.maxConsecutiveAcceptTurns;
 		this.hasAcceptedConnection = false;
 		this.hasStartedRequest = false;
 		if (this.waiting.length === 0) {
@@ -155,19 +155,19 @@
 
 	private refuseLate(): void {
 		const nowMs = this.timers.getNow();
-		const longestMs = this.getLongestWait(nowMs);
+		const maxWaitMs = this.getMaxWait(nowMs);
 		const isLate = (call: WaitingCall | undefined): boolean =>
-			call !== undefined && nowMs - call.enqueuedMs > longestMs;
-		for (let count = 0; count < this.limits.mostRefusalsPerTurn && isLate(this.waiting[0]); count++) {
-			this.finish(this.waiting.shift(), err(this.createRefusal(longestMs)));
+			call !== undefined && nowMs - call.enqueuedMs > maxWaitMs;
+		for (let count = 0; count < this.limits.maxRefusalsPerTurn && isLate(this.waiting[0]); count++) {
+			this.finish(this.waiting.shift(), err(this.createRefusal(maxWaitMs)));
 		}
 	}
 
 	/** Starts the oldest request that is not late; late ones that remain are refused in later turns. */
 	private startNext(): void {
 		const nowMs = this.timers.getNow();
-		const longestMs = this.getLongestWait(nowMs);
-		const index = this.waiting.findIndex(call => nowMs - call.enqueuedMs <= longestMs);
+		const maxWaitMs = this.getMaxWait(nowMs);
+		const index = this.waiting.findIndex(call => nowMs - call.enqueuedMs <= maxWaitMs);
 		if (index >= 0) {
 			const [call] = this.waiting.splice(index, 1);
 			this.hasStartedRequest = true;
@@ -182,15 +182,15 @@
 		}
 	}
 
-	private getLongestWait(nowMs: number): number {
-		const { longestBurstWaitMs, longestStandingWaitMs } = this.limits;
-		return nowMs - this.nonEmptySinceMs <= longestBurstWaitMs ? longestBurstWaitMs : longestStandingWaitMs;
+	private getMaxWait(nowMs: number): number {
+		const { maxBurstWaitMs, maxStandingWaitMs } = this.limits;
+		return nowMs - this.nonEmptySinceMs <= maxBurstWaitMs ? maxBurstWaitMs : maxStandingWaitMs;
 	}
 
-	private createRefusal(longestMs: number): RequestError {
-		const { longestBurstWaitMs } = this.limits;
-		const retryAfterMs = Math.round(longestBurstWaitMs * (leastRetryFactor + this.random.pickFraction()));
-		const detail = `not started within ${longestMs} ms, ${this.waiting.length} waiting`;
+	private createRefusal(maxWaitMs: number): RequestError {
+		const { maxBurstWaitMs } = this.limits;
+		const retryAfterMs = Math.round(maxBurstWaitMs * (minRetryFactor + this.random.pickFraction()));
+		const detail = `not started within ${maxWaitMs} ms, ${this.waiting.length} waiting`;
 		return createRequestError(ErrorKind.Overloaded, detail, { retryAfterMs });
 	}
 }
--- a/src/entry/common/intake/test/requestIntake.test.ts
+++ b/src/entry/common/intake/test/requestIntake.test.ts
@@ -123,7 +123,7 @@
 describe('RequestIntake', () => {
 	// Guards against waits of seconds in the accept queue when each turn starts every request that it has read.
 	it('bounds the wait of callers at a high rate of new connections', async () => {
-		const { longestBurstWaitMs } = defaultIntakeLimits;
+		const { maxBurstWaitMs } = defaultIntakeLimits;
 		const withoutIntake = createCallers(2_000, 500);
 		await new EventLoopModel().run(withoutIntake, true);
 		expect(findLongest(withoutIntake.map(({ startedMs }) => startedMs))).toBeGreaterThan(3_000);
@@ -131,8 +131,8 @@
 		const callers = createCallers(2_000, 500);
 		await new EventLoopModel().run(callers);
 		const started = callers.filter(({ startedMs }) => startedMs !== undefined);
-		expect(findLongest(callers.map(({ startedMs }) => startedMs))).toBeLessThan(longestBurstWaitMs + 100);
-		expect(findLongest(callers.map(({ refusedMs }) => refusedMs))).toBeLessThan(longestBurstWaitMs + 100);
+		expect(findLongest(callers.map(({ startedMs }) => startedMs))).toBeLessThan(maxBurstWaitMs + 100);
+		expect(findLongest(callers.map(({ refusedMs }) => refusedMs))).toBeLessThan(maxBurstWaitMs + 100);
 		expect(started.length).toBeGreaterThan(callers.length * 0.25);
 	});
 
@@ -141,8 +141,8 @@
 		const callers = createCallers(2_000, 500);
 		await new EventLoopModel().run(callers);
 		const later = callers.filter(({ connectedMs }) => connectedMs > 1_500);
-		const { longestStandingWaitMs } = defaultIntakeLimits;
-		expect(findLongest(later.map(({ startedMs }) => startedMs))).toBeLessThan(longestStandingWaitMs + 100);
+		const { maxStandingWaitMs } = defaultIntakeLimits;
+		expect(findLongest(later.map(({ startedMs }) => startedMs))).toBeLessThan(maxStandingWaitMs + 100);
 	});
 
 	// Guards against refusing requests of a short burst that could be served in time.
@@ -156,7 +156,7 @@
 	it('starts no request whose caller has disconnected', async () => {
 		const callers = createCallers(2_000, 500, 100);
 		await new EventLoopModel().run(callers);
-		const oneTurnMs = defaultIntakeLimits.mostRefusalsPerTurn * refuseMs;
+		const oneTurnMs = defaultIntakeLimits.maxRefusalsPerTurn * refuseMs;
 		expect(findLongest(callers.map(({ startedMs }) => startedMs))).toBeLessThan(100 + oneTurnMs);
 		expect(callers.some(({ hasDisconnected }) => hasDisconnected === true)).toBe(true);
 	});
@@ -168,9 +168,9 @@
 		const retryDelaysMs = callers.flatMap(({ retryAfterMs }) =>
 			retryAfterMs === undefined ? [] : [retryAfterMs],
 		);
-		const { longestBurstWaitMs } = defaultIntakeLimits;
-		expect(Math.min(...retryDelaysMs)).toBeGreaterThanOrEqual(longestBurstWaitMs / 2);
-		expect(Math.max(...retryDelaysMs)).toBeLessThanOrEqual(longestBurstWaitMs * 1.5);
+		const { maxBurstWaitMs } = defaultIntakeLimits;
+		expect(Math.min(...retryDelaysMs)).toBeGreaterThanOrEqual(maxBurstWaitMs / 2);
+		expect(Math.max(...retryDelaysMs)).toBeLessThanOrEqual(maxBurstWaitMs * 1.5);
 		expect(new Set(retryDelaysMs).size).toBeGreaterThan(100);
 	});
 });
