--- a/src/entry/common/quarantine/quarantine.ts
+++ b/src/entry/common/quarantine/quarantine.ts
@@ -1,105 +1,112 @@
 /**
- * Keeps a request that kills its targets from killing one after the other. Load pattern: now and then one
- * request ends each target that runs it, and its caller, who got no answer, sends it again, to this entry
- * or to others. Without this module a retry and five resends take seven targets out, and the service with
- * them.
+ * Protects targets against requests that crash them. The load it is designed for is a single request that crashes
+ * every target that runs it and is sent again, to this entry (proxy process) or others, by a caller that got no
+ * answer. Without this module one retry and five such resends crash seven targets, and with them the service.
  *
- * A request is known by its fingerprint. When a target dies, every fingerprint in flight there is noted: a
- * sighting. One sighting proves little, since all but one are bystanders; they are retried apart from each
- * other, so that the next death is seen by one of them alone. A fingerprint with two sightings is refused
- * for some minutes, at this entry and, by the sightings that entries exchange, at the others of the region.
+ * A request is identified by its fingerprint. When a target crashes, a sighting is recorded for every fingerprint
+ * that was in flight there. One sighting proves little, because all requests but one are bystanders. They are
+ * retried on separate targets, so that the next crash involves only one of them. A fingerprint with two sightings
+ * is refused for some minutes by this entry and, through the sightings that entries exchange, by the other entries
+ * of the region.
  *
- * What this assumes: one crashing request is about at a time (a bystander that shares its second target
- * with another crashing request is refused, wrongly, for the same minutes), sightings arrive before the
- * request is sent again, and a target takes longer than `sameDeathMs` from its death to its next one.
+ * Assumptions: only one crashing request is active at a time (a bystander that shares its second target with
+ * another crashing request is wrongly refused for the same time), sightings arrive before the request is sent
+ * again, and the time between two crashes of a target is longer than `sameCrashWindowMs`.
  *
- * The figures: two deaths are the least that can tell the guilty from its bystanders without refusing them.
- * Five minutes outlast a caller's automatic resends; ten minutes of memory bridge the time to the next.
+ * Two crashes are the minimum that distinguishes the crashing request from its bystanders without refusing them.
+ * Five minutes of refusal outlast the automatic resends of a caller, and ten minutes of retention cover the time
+ * until its next attempt.
  */
 
 import type { RequestError } from '../../../core/errors/common/errorKinds';
 import { createRequestError, ErrorKind } from '../../../core/errors/common/errorKinds';
 import type { Fingerprint, TargetId } from '../../../core/ids/common/ids';
 
-/** A fingerprint that was in flight at a target when it died. */
+/** A fingerprint that was in flight at a target when the target crashed. */
 export interface CrashSighting {
 	readonly fingerprint: Fingerprint;
 	readonly target: TargetId;
-	/** Milliseconds since the death. */
+	/** Milliseconds since the crash. */
 	readonly ageMs: number;
 }
 
-/** Bounds and times of the quarantine, in milliseconds where not said otherwise. */
+/** Limits of the quarantine. */
 export interface QuarantineLimits {
-	readonly refuseMs: number;
-	readonly rememberMs: number;
-	/** Sightings at one target closer than this are the same death, seen by several entries. */
-	readonly sameDeathMs: number;
-	/** Fingerprints remembered at a time, of those seen once and of those seen more often alike. */
-	readonly mostFingerprints: number;
-	/** How long a single sighting is told to peers; several exchanges of views. */
-	readonly shareMs: number;
-	/** Sightings that one view carries. */
-	readonly mostShared: number;
+	/** Time after its last crash for which a fingerprint is refused, in milliseconds. */
+	readonly refuseForMs: number;
+	/** Time after its last crash for which a fingerprint is kept, in milliseconds. */
+	readonly retentionMs: number;
+	/** Sightings at one target less than this apart, in milliseconds, are one crash reported by several entries. */
+	readonly sameCrashWindowMs: number;
+	/** Maximum number of fingerprints kept with one crash, and separately with more crashes. */
+	readonly maxFingerprints: number;
+	/** Time for which a single sighting is sent to peers, in milliseconds: several exchanges of views. */
+	readonly shareForMs: number;
+	/** Maximum number of sightings in one view. */
+	readonly maxSharedSightings: number;
 }
 
 export const defaultQuarantineLimits: QuarantineLimits = {
-	refuseMs: 300_000,
-	rememberMs: 600_000,
-	sameDeathMs: 2_000,
-	mostFingerprints: 2_048,
-	shareMs: 15_000,
-	mostShared: 512,
+	refuseForMs: 300_000,
+	retentionMs: 600_000,
+	sameCrashWindowMs: 2_000,
+	maxFingerprints: 2_048,
+	shareForMs: 15_000,
+	maxSharedSightings: 512,
 };
 
-interface Death {
+interface TargetCrash {
 	readonly target: TargetId;
 	readonly atMs: number;
 }
 
-const deathsToRefuse = 2;
+const minCrashesToRefuse = 2;
 
-/** Deaths kept for one fingerprint; more add nothing to the decision. */
-const mostDeathsKept = 4;
+/** Maximum number of crashes kept for a fingerprint; more would not change the decision. */
+const maxCrashesPerFingerprint = 4;
 
-function getLastMs(deaths: readonly Death[]): number {
-	return deaths.at(-1)?.atMs ?? Number.NEGATIVE_INFINITY;
+function getLastCrashMs(crashes: readonly TargetCrash[]): number {
+	return crashes.at(-1)?.atMs ?? Number.NEGATIVE_INFINITY;
 }
 
-/** The quarantine of one entry. */
+/** Quarantine of one entry. */
 export class Quarantine {
-	/** Seen at one death; apart from the others, so that a flood of bystanders drives out no guilty one. */
-	private readonly sighted = new Map<Fingerprint, readonly Death[]>();
-	private readonly refused = new Map<Fingerprint, readonly Death[]>();
+	/** Fingerprints with one crash, kept separately so that many bystanders do not evict refused fingerprints. */
+	private readonly suspects = new Map<Fingerprint, readonly TargetCrash[]>();
+	private readonly refused = new Map<Fingerprint, readonly TargetCrash[]>();
 
 	constructor(private readonly limits: QuarantineLimits = defaultQuarantineLimits) {}
 
-	/** The refusal of a request that was seen at two deaths, or undefined. */
+	/** Returns the refusal of a request that was in flight at two or more crashes, or undefined. */
 	findRefusal(fingerprint: Fingerprint, nowMs: number): RequestError | undefined {
-		const leftMs = getLastMs(this.refused.get(fingerprint) ?? []) + this.limits.refuseMs - nowMs;
+		const leftMs = getLastCrashMs(this.refused.get(fingerprint) ?? []) + this.limits.refuseForMs - nowMs;
 		if (leftMs <= 0) {
 			return undefined;
 		}
-		return createRequestError(ErrorKind.Quarantined, `seen at ${deathsToRefuse} deaths or more of targets`, {
-			retryAfterMs: leftMs,
-		});
+		return createRequestError(
+			ErrorKind.Quarantined,
+			`in flight at ${minCrashesToRefuse} or more target crashes`,
+			{
+				retryAfterMs: leftMs,
+			},
+		);
 	}
 
-	/** Whether it was in flight at a death and must run apart from others of that kind. */
-	isSighted(fingerprint: Fingerprint): boolean {
-		return this.sighted.has(fingerprint) || this.refused.has(fingerprint);
+	/** Whether a request was in flight at a crash and must not share a target with another such request. */
+	isSuspect(fingerprint: Fingerprint): boolean {
+		return this.suspects.has(fingerprint) || this.refused.has(fingerprint);
 	}
 
 	/**
-	 * Whether a request may start beside those running on a target. At most one that was sighted runs there:
-	 * two bystanders of one death would otherwise be seen together at the next and both be refused.
+	 * Whether a request may start on a target that runs the given requests. A target runs at most one suspect: two
+	 * bystanders of one crash would otherwise both be in flight at the next crash, and both be refused.
 	 */
-	isAllowedBeside(fingerprint: Fingerprint, running: Iterable<Fingerprint>): boolean {
-		if (!this.isSighted(fingerprint)) {
+	isAllowedAlongside(fingerprint: Fingerprint, running: Iterable<Fingerprint>): boolean {
+		if (!this.isSuspect(fingerprint)) {
 			return true;
 		}
 		for (const other of running) {
-			if (this.isSighted(other)) {
+			if (this.isSuspect(other)) {
 				return false;
 			}
 		}
@@ -107,51 +114,55 @@
 	}
 
 	/**
-	 * A target died with these in flight. Call it only when a new connection to the target was refused or
-	 * it shows another boot: a connection that broke by itself may be a fault of the link, and a partition
-	 * would put every request in flight under suspicion.
+	 * Records the crash of a target with the given requests in flight. Call this only if a new connection to the
+	 * target was refused or the target has restarted. A broken connection alone may be a network fault, and a
+	 * network partition would make every request in flight a suspect.
 	 */
-	noteDeath(target: TargetId, inFlight: Iterable<Fingerprint>, nowMs: number): void {
+	noteTargetCrash(target: TargetId, inFlight: Iterable<Fingerprint>, nowMs: number): void {
 		for (const fingerprint of inFlight) {
-			this.noteSighting({ fingerprint, target, ageMs: 0 }, nowMs);
+			this.noteCrashSighting({ fingerprint, target, ageMs: 0 }, nowMs);
 		}
 	}
 
-	/** A sighting of this entry or of a peer; the same one may be told many times. */
-	noteSighting(sighting: CrashSighting, nowMs: number): void {
+	/** Records a sighting of this entry or of a peer. Repeated reports of the same crash are ignored. */
+	noteCrashSighting(sighting: CrashSighting, nowMs: number): void {
 		const { fingerprint, target, ageMs } = sighting;
-		const death = { target, atMs: nowMs - ageMs };
-		const known = this.refused.get(fingerprint) ?? this.sighted.get(fingerprint) ?? [];
-		if (ageMs >= this.limits.rememberMs || known.some(other => this.isSameDeath(other, death))) {
+		const crash = { target, atMs: nowMs - ageMs };
+		const known = this.refused.get(fingerprint) ?? this.suspects.get(fingerprint) ?? [];
+		if (ageMs >= this.limits.retentionMs || known.some(other => this.isSameCrash(other, crash))) {
 			return;
 		}
-		const deaths = [...known, death].sort((left, right) => left.atMs - right.atMs).slice(-mostDeathsKept);
-		this.sighted.delete(fingerprint);
+		const crashes = [...known, crash]
+			.sort((left, right) => left.atMs - right.atMs)
+			.slice(-maxCrashesPerFingerprint);
+		this.suspects.delete(fingerprint);
 		this.refused.delete(fingerprint);
-		this.put(deaths.length >= deathsToRefuse ? this.refused : this.sighted, fingerprint, deaths);
+		this.put(crashes.length >= minCrashesToRefuse ? this.refused : this.suspects, fingerprint, crashes);
 	}
 
 	/**
-	 * The sightings that this entry's view carries, the newest first. Those of refused requests are told for
-	 * as long as they are remembered, so that a restarted entry learns them; those of mere bystanders, which
-	 * are many, only until every entry has heard them.
+	 * Returns the sightings to include in this entry's view, the newest first. Sightings of refused requests are
+	 * included as long as they are kept, so that a restarted entry receives them. Sightings of other suspects, which
+	 * are many, are included only until every entry has received them.
 	 */
-	listSightings(nowMs: number): readonly CrashSighting[] {
-		const { shareMs, mostShared } = this.limits;
-		const young = [...this.sighted].filter(([, deaths]) => nowMs - getLastMs(deaths) < shareMs);
-		return [...young, ...this.refused]
-			.flatMap(([fingerprint, deaths]) =>
-				deaths.map(({ target, atMs }) => ({ fingerprint, target, ageMs: nowMs - atMs })),
+	listCrashSightings(nowMs: number): readonly CrashSighting[] {
+		const { shareForMs, maxSharedSightings } = this.limits;
+		const recentSuspects = [...this.suspects].filter(
+			([, crashes]) => nowMs - getLastCrashMs(crashes) < shareForMs,
+		);
+		return [...recentSuspects, ...this.refused]
+			.flatMap(([fingerprint, crashes]) =>
+				crashes.map(({ target, atMs }) => ({ fingerprint, target, ageMs: nowMs - atMs })),
 			)
 			.sort((left, right) => left.ageMs - right.ageMs)
-			.slice(0, mostShared);
+			.slice(0, maxSharedSightings);
 	}
 
-	/** Forgets what is old; call about once a second. */
+	/** Removes fingerprints whose last crash is older than `retentionMs`. Call this about once a second. */
 	expire(nowMs: number): void {
-		for (const map of [this.sighted, this.refused]) {
-			for (const [fingerprint, deaths] of map) {
-				if (nowMs - getLastMs(deaths) >= this.limits.rememberMs) {
+		for (const map of [this.suspects, this.refused]) {
+			for (const [fingerprint, crashes] of map) {
+				if (nowMs - getLastCrashMs(crashes) >= this.limits.retentionMs) {
 					map.delete(fingerprint);
 				}
 			}
@@ -159,21 +170,21 @@
 	}
 
 	countFingerprints(): number {
-		return this.sighted.size + this.refused.size;
+		return this.suspects.size + this.refused.size;
 	}
 
-	private isSameDeath(left: Death, right: Death): boolean {
-		return left.target === right.target && Math.abs(left.atMs - right.atMs) < this.limits.sameDeathMs;
+	private isSameCrash(left: TargetCrash, right: TargetCrash): boolean {
+		return left.target === right.target && Math.abs(left.atMs - right.atMs) < this.limits.sameCrashWindowMs;
 	}
 
 	private put(
-		into: Map<Fingerprint, readonly Death[]>,
+		into: Map<Fingerprint, readonly TargetCrash[]>,
 		fingerprint: Fingerprint,
-		deaths: readonly Death[],
+		crashes: readonly TargetCrash[],
 	): void {
-		into.set(fingerprint, deaths);
+		into.set(fingerprint, crashes);
 		for (const oldest of into.keys()) {
-			if (into.size <= this.limits.mostFingerprints) {
+			if (into.size <= this.limits.maxFingerprints) {
 				return;
 			}
 			into.delete(oldest);
--- a/src/entry/node/fleet/ownView.ts
+++ b/src/entry/node/fleet/ownView.ts
@@ -99,7 +99,7 @@
 				.listServices()
 				.map(service => ({ service, room: runners.getRunner(service).measureRoom() })),
 			leavingTargets: [...targets.listLeavingByOwnWord()],
-			crashSightings: [...quarantine.listSightings(timers.getNow())],
+			crashSightings: [...quarantine.listCrashSightings(timers.getNow())],
 		};
 	}
 }
--- a/src/entry/node/peerFollowing.ts
+++ b/src/entry/node/peerFollowing.ts
@@ -67,7 +67,7 @@
 			return;
 		}
 		for (const { fingerprint, target, ageMs } of view.crashSightings) {
-			quarantine.noteSighting({ fingerprint, target, ageMs: ageMs + view.ageMs }, timers.getNow());
+			quarantine.noteCrashSighting({ fingerprint, target, ageMs: ageMs + view.ageMs }, timers.getNow());
 		}
 	}
 }
--- a/src/entry/node/requests/crashWatch.ts
+++ b/src/entry/node/requests/crashWatch.ts
@@ -55,7 +55,7 @@
 
 	/** Whether a call was in flight at a death and must run apart from others of that kind. */
 	isSighted(call: AcceptedCall): boolean {
-		return this.quarantine.countFingerprints() > 0 && this.quarantine.isSighted(this.getFingerprint(call));
+		return this.quarantine.countFingerprints() > 0 && this.quarantine.isSuspect(this.getFingerprint(call));
 	}
 
 	/**
@@ -89,7 +89,7 @@
 		const isDead = await this.probeDeath(target);
 		if (isDead) {
 			const fingerprints = inFlight.map(call => this.getFingerprint(call));
-			this.quarantine.noteDeath(target, fingerprints, this.timers.getNow());
+			this.quarantine.noteTargetCrash(target, fingerprints, this.timers.getNow());
 			await this.waitForRegion();
 		}
 	}
