--- a/src/entry/common/sendAway/reliefPolicy.ts
+++ b/src/entry/common/sendAway/reliefPolicy.ts
@@ -59,7 +59,7 @@
 	usualWorkMs: 100,
 	claimShare: 0.3,
 	copyCost: defaultWorkPolicy.choice.copyCost,
-	tokensPerMs: defaultWorkPolicy.estimate.tokensPerMs,
+	tokensPerMs: defaultWorkPolicy.estimate.prefillTokensPerMs,
 	delayCost: defaultWorkPolicy.choice.delayCost,
 	avoidMs: 2_000,
 	jitter: 0.1,
@@ -190,7 +190,7 @@
 	}
 
 	private findShared({ work }: SchedulableRequest): PromptPart | undefined {
-		return work?.prompt && findSharedPart(work.prompt, defaultWorkPolicy.choice.leastSharedTokens);
+		return work?.prompt && findSharedPart(work.prompt, defaultWorkPolicy.choice.minSharedTokens);
 	}
 
 	private noteSent(question: SendAwayQuestion, offer: RemoteOffer, nowMs: number): void {
--- a/src/entry/common/workScheduling/coldTargetRateLimiter.ts
+++ b/src/entry/common/workScheduling/coldTargetRateLimiter.ts
@@ -1,59 +1,60 @@
 /**
- * How many requests a target that has just started may be sent. Load pattern: the targets of a zone come
- * back together, and all callers are there already. A target that is still cold crashes under a rate that it
- * bears a few seconds later, and then it is cold once more; the zone never comes back.
+ * Limits the request rate to a target that has just started. The load it is designed for is the restart of all
+ * targets of a zone while their callers are already waiting. A cold target crashes under a rate that it could
+ * serve a few seconds later, and is cold again after the restart, so without a limit the zone never recovers.
  *
- * The rate that a target bears is divided by the entries that send to it. Parts of it that each entry spaces
- * for itself do not add up to the rate: the first sends of twenty entries fall into the same second, seen as
- * seven requests at a target that bears two. So entries take turns. Counted back from the end of the cold
- * time, which all of them know alike, each has a turn in every round, and one request a turn; no second sees
- * more than the rate and the two turns that it cuts.
+ * The rate is divided among the entries (proxy processes) that send to the target. It is not enough that each
+ * entry spaces its own requests: the first requests of twenty entries can fall into the same second, which sent
+ * seven requests to a target that could serve two. Instead entries take turns. Turns are counted back from the end
+ * of the cold period, which all entries know, and each entry has one turn per round and sends one request per
+ * turn. So no second gets more requests than the rate plus the two turns that it partly covers.
  */
 
 const msPerSecond = 1_000;
 
-/** Whose turn it is at a cold target. */
-export interface ColdTurns {
-	/** When the target is no longer cold, in monotonic milliseconds. */
+/** Schedule of turns for a cold target. */
+export interface ColdTargetTurns {
+	/** End of the cold period, in monotonic milliseconds. */
 	readonly coldUntilMs: number;
-	/** Requests a second that it bears until then, those of all entries together; infinite where it bears all. */
+	/** Maximum requests per second from all entries until then; infinite if the rate is not limited. */
 	readonly requestsPerSecond: number;
-	/** Entries that take turns, and the place of this one among them, from 0. */
-	readonly entries: number;
-	readonly place: number;
+	/** Number of entries that take turns, and the zero-based index of this one. */
+	readonly entryCount: number;
+	readonly entryIndex: number;
 }
 
-/** The sends of one entry to one cold target. */
-export class ColdAllowance {
-	private lastTurn: number | undefined;
+/** Limits the requests that one entry sends to one cold target. */
+export class ColdTargetRateLimiter {
+	private lastUsedTurn: number | undefined;
 
-	/** Whether a request may be sent now. */
-	isOpen(turns: ColdTurns, nowMs: number): boolean {
+	isSendAllowed(turns: ColdTargetTurns, nowMs: number): boolean {
 		if (!Number.isFinite(turns.requestsPerSecond)) {
 			return true;
 		}
-		const turn = computeTurn(turns, nowMs);
-		return turn % turns.entries === turns.place && turn !== this.lastTurn;
+		const turn = computeRemainingTurns(turns, nowMs);
+		return turn % turns.entryCount === turns.entryIndex && turn !== this.lastUsedTurn;
 	}
 
-	/** When the next request may be sent, in monotonic milliseconds. */
-	getNextMs(turns: ColdTurns, nowMs: number): number {
-		if (this.isOpen(turns, nowMs)) {
+	/** Returns when the next request may be sent, in monotonic milliseconds. */
+	getNextSendMs(turns: ColdTargetTurns, nowMs: number): number {
+		if (this.isSendAllowed(turns, nowMs)) {
 			return nowMs;
 		}
-		const turn = computeTurn(turns, nowMs);
-		const { entries, place, coldUntilMs, requestsPerSecond } = turns;
-		const turnsAway = (turn - place + entries) % entries || entries;
+		const turn = computeRemainingTurns(turns, nowMs);
+		const { entryCount, entryIndex, coldUntilMs, requestsPerSecond } = turns;
+		const turnsAway = (turn - entryIndex + entryCount) % entryCount || entryCount;
 		const nextTurn = turn - turnsAway;
 		return nextTurn < 0 ? coldUntilMs : coldUntilMs - ((nextTurn + 1) * msPerSecond) / requestsPerSecond;
 	}
 
-	noteSent(turns: ColdTurns, nowMs: number): void {
-		this.lastTurn = Number.isFinite(turns.requestsPerSecond) ? computeTurn(turns, nowMs) : undefined;
+	noteSent(turns: ColdTargetTurns, nowMs: number): void {
+		this.lastUsedTurn = Number.isFinite(turns.requestsPerSecond)
+			? computeRemainingTurns(turns, nowMs)
+			: undefined;
 	}
 }
 
-/** Turns that are left until the cold time ends, the present one not counted. */
-function computeTurn({ coldUntilMs, requestsPerSecond }: ColdTurns, nowMs: number): number {
+/** Returns the number of turns left until the end of the cold period, without the current one. */
+function computeRemainingTurns({ coldUntilMs, requestsPerSecond }: ColdTargetTurns, nowMs: number): number {
 	return Math.floor(((coldUntilMs - nowMs) * requestsPerSecond) / msPerSecond);
 }
--- a/src/entry/common/workScheduling/fleetRetryBudget.ts
+++ b/src/entry/common/workScheduling/fleetRetryBudget.ts
@@ -1,27 +1,28 @@
 /**
- * How many sends beyond the first of each request this entry may make. Load pattern: all targets of a
- * service fail, or refuse, at once. Without a bound each request is sent as often as its route allows, and
- * targets that are just coming back meet a multiple of the load under which they fell.
+ * Limits the retries that this entry (proxy process) may send. The load it is designed for is a service whose
+ * targets all fail, or refuse, at once. Without a limit every request would be sent as often as its route allows,
+ * and targets that are recovering would get a multiple of the load under which they failed.
  *
- * The bound holds for the fleet: a share of the requests of a sliding window, and a slack. No entry sees
- * what the others send, so each uses its own requests' share and its part of the slack.
+ * The limit applies to the whole fleet: a share of the requests in a sliding window, plus a fixed slack. An entry
+ * does not see the retries of other entries, so each uses the share of its own requests and an equal part of the
+ * slack.
  */
 
-import type { WorkRetryFigures } from './workPolicy';
+import type { WorkRetryParameters } from './workPolicy';
 
-const slices = 20;
+const bucketCount = 20;
 
-/** Counts events of a sliding window in slices. */
-class WindowCount {
-	private readonly counts = new Array<number>(slices).fill(0);
+/** Counts the events of a sliding window in buckets. */
+class SlidingWindowCounter {
+	private readonly counts = new Array<number>(bucketCount).fill(0);
 	private total = 0;
-	private slice = 0;
+	private currentBucket = 0;
 
-	constructor(private readonly sliceMs: number) {}
+	constructor(private readonly bucketMs: number) {}
 
 	add(nowMs: number): void {
 		this.advance(nowMs);
-		this.counts[this.slice % slices] = (this.counts[this.slice % slices] ?? 0) + 1;
+		this.counts[this.currentBucket % bucketCount] = (this.counts[this.currentBucket % bucketCount] ?? 0) + 1;
 		this.total++;
 	}
 
@@ -31,49 +32,49 @@
 	}
 
 	private advance(nowMs: number): void {
-		const target = Math.floor(nowMs / this.sliceMs);
-		if (target - this.slice >= slices) {
+		const nowBucket = Math.floor(nowMs / this.bucketMs);
+		if (nowBucket - this.currentBucket >= bucketCount) {
 			this.counts.fill(0);
 			this.total = 0;
-			this.slice = target;
+			this.currentBucket = nowBucket;
 			return;
 		}
-		while (this.slice < target) {
-			this.slice++;
-			this.total -= this.counts[this.slice % slices] ?? 0;
-			this.counts[this.slice % slices] = 0;
+		while (this.currentBucket < nowBucket) {
+			this.currentBucket++;
+			this.total -= this.counts[this.currentBucket % bucketCount] ?? 0;
+			this.counts[this.currentBucket % bucketCount] = 0;
 		}
 	}
 }
 
-/** The repeated sends of one service at one entry. */
-export class RetryAllowance {
-	private readonly requests: WindowCount;
-	private readonly repeats: WindowCount;
-	private entries = 1;
+/** Retry budget of one service at one entry. */
+export class FleetRetryBudget {
+	private readonly requests: SlidingWindowCounter;
+	private readonly retries: SlidingWindowCounter;
+	private entryCount = 1;
 
-	constructor(private readonly figures: WorkRetryFigures) {
-		this.requests = new WindowCount(figures.windowMs / slices);
-		this.repeats = new WindowCount(figures.windowMs / slices);
+	constructor(private readonly parameters: WorkRetryParameters) {
+		this.requests = new SlidingWindowCounter(parameters.windowMs / bucketCount);
+		this.retries = new SlidingWindowCounter(parameters.windowMs / bucketCount);
 	}
 
-	/** Entries of the fleet that share the slack, this one included. */
-	setEntries(entries: number): void {
-		this.entries = Math.max(1, entries);
+	/** Sets the number of entries that share the slack, including this one. */
+	setEntryCount(entryCount: number): void {
+		this.entryCount = Math.max(1, entryCount);
 	}
 
 	noteRequest(nowMs: number): void {
 		this.requests.add(nowMs);
 	}
 
-	/** Whether one more repeated send is allowed. */
-	isOpen(nowMs: number): boolean {
-		const { ratio, slack, usedShare } = this.figures;
-		const most = usedShare * (ratio * this.requests.count(nowMs) + slack / this.entries);
-		return this.repeats.count(nowMs) + 1 <= most;
+	/** Whether the budget allows another retry. */
+	isRetryAllowed(nowMs: number): boolean {
+		const { ratio, slack, budgetUseShare } = this.parameters;
+		const maxRetries = budgetUseShare * (ratio * this.requests.count(nowMs) + slack / this.entryCount);
+		return this.retries.count(nowMs) + 1 <= maxRetries;
 	}
 
-	noteRepeat(nowMs: number): void {
-		this.repeats.add(nowMs);
+	noteRetry(nowMs: number): void {
+		this.retries.add(nowMs);
 	}
 }
--- a/src/entry/common/workScheduling/pendingPrefill.ts
+++ b/src/entry/common/workScheduling/pendingPrefill.ts
@@ -1,81 +1,84 @@
 /**
- * The reading of prompts that was sent to one engine and has given no first event yet. Load pattern: many
- * entries send long prompts to the same engine. Counted down by the clock, as if the engine read for this
- * entry alone, a backlog of seconds looks like one of milliseconds, and every entry goes on sending there; of
- * 229 prompts that waited over 300 ms at an engine, half were predicted to wait less than a twentieth of it.
- * What has not begun to answer is still ahead, however long ago it was sent.
+ * Tracks the prefill work (processing of prompt tokens) that was sent to one inference engine and whose answers
+ * have not begun. The load it is designed for is many entries (proxy processes) that send long prompts to the same
+ * engine.
  *
- * What others sent is not seen. Entries rank engines alike and callers are spread over them, so each of the
- * others is taken to have as much unanswered as this entry on average of late; this one's present amount alone
- * would multiply one long prompt by the number of entries. With both, that median was 0.94 of the true wait,
- * from the decisions of one replayed peak with engines lost.
+ * The work is not counted down with time. If it were, as though the engine served this entry alone, a backlog of
+ * seconds would look like one of milliseconds and every entry would keep sending to that engine: of 229 prompts
+ * that waited over 300 ms at an engine, half had a predicted wait of less than a twentieth of the actual one.
+ * Prompts whose answers have not begun remain counted, however long ago they were sent.
  *
- * An engine admits the more urgent first, so a request waits for those that are as urgent or more.
+ * The work of other entries is not visible here. Entries rank engines alike and callers are spread over entries,
+ * so each other entry is assumed to have as much pending work as the recent average of this one. Its current
+ * amount would multiply a single long prompt by the number of entries. With both rules the median predicted wait
+ * was 0.94 of the actual one.
+ *
+ * An engine starts more urgent prompts first, so a request waits only for prompts that are at least as urgent.
  */
 
-/** What one urgency has unanswered. */
-class ReadingOfUrgency {
+/** Pending prefill of one urgency, with its exponential moving average. */
+class AveragedPrefill {
 	private sumMs = 0;
 	private meanMs = 0;
-	private atMs = 0;
+	private updatedMs = 0;
 
-	constructor(private readonly fadeMs: number) {}
+	constructor(private readonly timeConstantMs: number) {}
 
 	getSum(): number {
 		return this.sumMs;
 	}
 
 	computeMean(nowMs: number): number {
-		return this.sumMs + (this.meanMs - this.sumMs) * Math.exp((this.atMs - nowMs) / this.fadeMs);
+		return this.sumMs + (this.meanMs - this.sumMs) * Math.exp((this.updatedMs - nowMs) / this.timeConstantMs);
 	}
 
-	add(readingMs: number, nowMs: number): void {
+	add(prefillMs: number, nowMs: number): void {
 		this.meanMs = this.computeMean(nowMs);
-		this.atMs = nowMs;
-		this.sumMs = Math.max(0, this.sumMs + readingMs);
+		this.updatedMs = nowMs;
+		this.sumMs = Math.max(0, this.sumMs + prefillMs);
 	}
 }
 
-/** Counts one engine's unanswered reading, in milliseconds of an engine of usual speed. */
-export class UnansweredReading {
-	private readonly urgencies = new Map<number, ReadingOfUrgency>();
+/** Sums the pending prefill of one engine, in milliseconds at the assumed engine speed. */
+export class PendingPrefill {
+	private readonly prefillByUrgency = new Map<number, AveragedPrefill>();
 
-	/** @param fadeMs time in which the mean loses 63% of what was, in milliseconds */
-	constructor(private readonly fadeMs: number) {}
+	/** @param timeConstantMs time in which an earlier value loses 63% of its weight in the mean, in milliseconds */
+	constructor(private readonly timeConstantMs: number) {}
 
-	noteSent(urgency: number, readingMs: number, nowMs: number): void {
-		this.getReading(urgency).add(readingMs, nowMs);
+	noteSent(urgency: number, prefillMs: number, nowMs: number): void {
+		this.getPrefill(urgency).add(prefillMs, nowMs);
 	}
 
-	/** It began to answer, or ended without. */
-	noteSettled(urgency: number, readingMs: number, nowMs: number): void {
-		this.getReading(urgency).add(-readingMs, nowMs);
+	/** Records that the answer to a prompt began, or that its attempt ended before that. */
+	noteCompleted(urgency: number, prefillMs: number, nowMs: number): void {
+		this.getPrefill(urgency).add(-prefillMs, nowMs);
 	}
 
-	/** Reading of this entry's requests that are as urgent or more. */
-	sumOwn(urgency: number): number {
-		return this.sum(urgency, reading => reading.getSum());
+	/** Sums the pending prefill of this entry's requests that are at least as urgent. */
+	sumMs(urgency: number): number {
+		return this.sum(urgency, prefill => prefill.getSum());
 	}
 
-	/** The mean of that over the last while. */
-	computeMeanOwn(urgency: number, nowMs: number): number {
-		return this.sum(urgency, reading => reading.computeMean(nowMs));
+	/** Returns the moving average of `sumMs`. */
+	computeMeanMs(urgency: number, nowMs: number): number {
+		return this.sum(urgency, prefill => prefill.computeMean(nowMs));
 	}
 
-	private sum(urgency: number, measure: (reading: ReadingOfUrgency) => number): number {
+	private sum(urgency: number, measure: (prefill: AveragedPrefill) => number): number {
 		let total = 0;
-		for (const [other, reading] of this.urgencies) {
-			total += other <= urgency ? measure(reading) : 0;
+		for (const [other, prefill] of this.prefillByUrgency) {
+			total += other <= urgency ? measure(prefill) : 0;
 		}
 		return total;
 	}
 
-	private getReading(urgency: number): ReadingOfUrgency {
-		let reading = this.urgencies.get(urgency);
-		if (reading === undefined) {
-			reading = new ReadingOfUrgency(this.fadeMs);
-			this.urgencies.set(urgency, reading);
+	private getPrefill(urgency: number): AveragedPrefill {
+		let prefill = this.prefillByUrgency.get(urgency);
+		if (prefill === undefined) {
+			prefill = new AveragedPrefill(this.timeConstantMs);
+			this.prefillByUrgency.set(urgency, prefill);
 		}
-		return reading;
+		return prefill;
 	}
 }
--- a/src/entry/common/workScheduling/prefixCacheModel.ts
+++ b/src/entry/common/workScheduling/prefixCacheModel.ts
@@ -1,51 +1,50 @@
 /**
- * Which parts of prompts a target is believed to hold. Load pattern: long prompts of which the greater part
- * is shared. An engine reads some fifty tokens in a millisecond, so a shared part of thirteen thousand
- * tokens takes a quarter of a second unless it is held; without knowing where it is held, each engine of a
- * region reads each part again and again.
+ * Models which shared prompt parts the prefix cache of a target holds. The load it is designed for is long prompts
+ * that are mostly shared. An inference engine processes some fifty prompt tokens in a millisecond, so a shared
+ * part of thirteen thousand tokens takes a quarter of a second if it is not cached. Without knowing where a part
+ * is cached, every engine of a region would process every part again and again.
  *
- * The belief is what this entry sent there, with the least recently used parts given up beyond the target's
- * memory. It errs where other entries send other parts; they rank targets for a part by the same hash, so
- * the parts that meet at a target are mostly the same ones.
+ * The model contains what this entry (proxy process) sent to the target, and evicts the least recently used parts
+ * beyond the size of the cache. It is wrong where other entries send other parts. Since all entries rank the
+ * targets of a part by the same hash, they mostly send the same parts to a target.
  */
 
 import { LRUCache } from 'lru-cache';
 import type { PromptShape } from '../prompts/promptShape';
 
 /**
- * The part of a target's memory that shared parts are taken to fill. Running requests and the parts that
- * are one request's own take the rest.
+ * Share of a target's cache that is assumed to hold shared parts. Running requests and the parts that belong to a single
+ * request take the rest.
  */
-const sharedMemory = 0.6;
+const sharedPartsMemoryShare = 0.6;
 
-/** What one target is believed to hold. */
-export class PromptCache {
+/** Estimated cache contents of one target. */
+export class PrefixCacheModel {
 	private readonly parts: LRUCache<string, number> | undefined;
 
-	/** @param tokens the target's memory in tokens; 0 where it caches nothing */
+	/** @param tokens size of the target's cache in tokens; 0 if it caches nothing */
 	constructor(tokens: number) {
-		const maxSize = Math.floor(tokens * sharedMemory);
+		const maxSize = Math.floor(tokens * sharedPartsMemoryShare);
 		this.parts = maxSize > 0 ? new LRUCache({ maxSize, sizeCalculation: size => size }) : undefined;
 	}
 
-	/** Whether the part is held. */
-	has(id: string): boolean {
+	hasPart(id: string): boolean {
 		return this.parts?.has(id) === true;
 	}
 
-	/** Tokens of a prompt that would have to be read: a part counts as held only if all before it are. */
+	/** Counts the tokens of a prompt that are not cached. A part counts as cached only if all parts before it are. */
 	countMissing({ parts, promptTokens }: PromptShape): number {
-		let held = 0;
+		let cached = 0;
 		for (const { id, tokens } of parts) {
-			if (!this.has(id)) {
+			if (!this.hasPart(id)) {
 				break;
 			}
-			held += tokens;
+			cached += tokens;
 		}
-		return Math.max(0, promptTokens - held);
+		return Math.max(0, promptTokens - cached);
 	}
 
-	/** A prompt was sent there; its last part is its own and is shared with none. */
+	/** Records the parts of a prompt sent to the target, except the last, which belongs to this request alone. */
 	noteSent({ parts }: PromptShape): void {
 		for (const { id, tokens } of parts.slice(0, -1)) {
 			this.parts?.set(id, Math.max(1, tokens));
--- a/src/entry/common/workScheduling/queueEstimates.ts
+++ b/src/entry/common/workScheduling/queueEstimates.ts
@@ -1,78 +1,81 @@
 /**
- * What the line of one service tells: how long a request would wait in it, how much work a request is, and
- * when a refused caller should come back.
+ * Estimates for the queue of one service: how long a request would wait in it, how much work a request is, and
+ * after which delay a refused caller should retry.
  */
 
 import type { SchedulableRequest } from '../scheduling/serviceScheduler';
-import type { TargetWork } from './targetLoadModel';
+import type { TargetLoadModel } from './targetLoadModel';
 import type { WorkPolicy } from './workPolicy';
 import type { WorkItem, WorkQueue } from './workQueue';
 import { getUrgency } from './workQueue';
 
-/** A caller that is told nothing better comes back after this, in milliseconds. */
-const leastReturnMs = 100;
-const mostReturnMs = 5_000;
+/** Bounds of the retry delay of refused callers, in milliseconds. */
+const minRetryAfterMs = 100;
+const maxRetryAfterMs = 5_000;
 
-/** Estimates for one service. */
-export class LineEstimates {
-	private targets: readonly TargetWork[] = [];
+/** Computes estimates from the queue and the targets of one service. */
+export class QueueEstimates {
+	private targets: readonly TargetLoadModel[] = [];
 
 	constructor(
 		private readonly queue: WorkQueue,
 		private readonly policy: WorkPolicy,
 	) {}
 
-	setTargets(targets: readonly TargetWork[]): void {
+	setTargets(targets: readonly TargetLoadModel[]): void {
 		this.targets = targets;
 	}
 
-	/** What waits here before the request, in milliseconds of all targets together. */
-	estimateLineMs(open: readonly TargetWork[], request: SchedulableRequest | undefined): number {
+	/** Estimates the queued work ahead of the request, in milliseconds, if all available targets share it. */
+	estimateQueuedWorkMs(
+		available: readonly TargetLoadModel[],
+		request: SchedulableRequest | undefined,
+	): number {
 		const urgency = request === undefined ? Number.POSITIVE_INFINITY : getUrgency(request);
-		return this.queue.sumAhead(urgency, false) / Math.max(1, open.length);
+		return this.queue.sumWorkAheadMs(urgency, false) / Math.max(1, available.length);
 	}
 
-	/** The request with its work at the target that would answer it soonest. */
+	/** Creates the queue item of a request, with its work at the target that would answer it first. */
 	createItem(request: SchedulableRequest, nowMs: number): WorkItem {
 		const soonest = this.findSoonest(request, nowMs);
 		if (soonest === undefined) {
 			const { plainRunMs } = this.policy.estimate;
-			return { request, unloadedMs: 0, workMs: plainRunMs };
+			return { request, idleFirstByteMs: 0, workMs: plainRunMs };
 		}
-		const unloadedMs = soonest.computeUnloadedMs(request);
+		const idleFirstByteMs = soonest.computeIdleFirstByteMs(request);
 		const workMs = soonest.isEngine
-			? unloadedMs - this.policy.estimate.firstEventMs
-			: unloadedMs / soonest.target.slots;
-		return { request, unloadedMs, workMs };
+			? idleFirstByteMs - this.policy.estimate.idleFirstEventMs
+			: idleFirstByteMs / soonest.description.slots;
+		return { request, idleFirstByteMs, workMs };
 	}
 
-	private findSoonest(request: SchedulableRequest, nowMs: number): TargetWork | undefined {
-		let soonest: TargetWork | undefined;
+	private findSoonest(request: SchedulableRequest, nowMs: number): TargetLoadModel | undefined {
+		let soonest: TargetLoadModel | undefined;
 		let soonestMs = Number.POSITIVE_INFINITY;
 		for (const target of this.targets) {
-			const firstMs = target.isOpen(nowMs)
-				? target.estimateFirstMs(request, nowMs)
+			const firstByteMs = target.isAvailable(nowMs)
+				? target.estimateFirstByteMs(request, nowMs)
 				: Number.POSITIVE_INFINITY;
-			if (firstMs < soonestMs) {
+			if (firstByteMs < soonestMs) {
 				soonest = target;
-				soonestMs = firstMs;
+				soonestMs = firstByteMs;
 			}
 		}
 		return soonest;
 	}
 
-	/** How long a request that arrives now would wait in line. */
+	/** Estimates how long a request that arrives now would wait in the queue, in milliseconds. */
 	estimateWaitMs(request: SchedulableRequest, isLate: boolean, nowMs: number): number {
-		const lanes = Math.max(1, this.targets.filter(target => target.isOpen(nowMs)).length);
-		const share = isLate ? this.policy.queue.lateShare : 1;
-		return this.queue.sumAhead(getUrgency(request), isLate) / (lanes * share);
+		const availableTargets = Math.max(1, this.targets.filter(target => target.isAvailable(nowMs)).length);
+		const share = isLate ? this.policy.queue.latePrefillShare : 1;
+		return this.queue.sumWorkAheadMs(getUrgency(request), isLate) / (availableTargets * share);
 	}
 
-	/** When what waits now will have been served, or the first target is open again. */
-	planReturn(request: SchedulableRequest, nowMs: number): number {
-		const lineMs = this.estimateWaitMs(request, true, nowMs);
-		const opens = this.targets.map(target => target.getNextOpenMs(nowMs) - nowMs);
-		const openMs = opens.length === 0 ? 0 : Math.min(...opens);
-		return Math.min(mostReturnMs, Math.max(leastReturnMs, lineMs, openMs));
+	/** Returns the delay until the current queue is served or the first target accepts requests, if that is later. */
+	computeRetryAfterMs(request: SchedulableRequest, nowMs: number): number {
+		const queueWaitMs = this.estimateWaitMs(request, true, nowMs);
+		const unavailableMsByTarget = this.targets.map(target => target.getNextAvailableMs(nowMs) - nowMs);
+		const unavailableMs = unavailableMsByTarget.length === 0 ? 0 : Math.min(...unavailableMsByTarget);
+		return Math.min(maxRetryAfterMs, Math.max(minRetryAfterMs, queueWaitMs, unavailableMs));
 	}
 }
--- a/src/entry/common/workScheduling/targetChooser.ts
+++ b/src/entry/common/workScheduling/targetChooser.ts
@@ -1,17 +1,20 @@
 /**
- * Which target a request goes to: the one whose answer is expected to begin first.
+ * Chooses the target for a request: the one whose answer is expected to begin first.
  *
- * Load pattern: prompts that share long parts, on engines whose memory holds only some of them. The expected
- * time counts the reading of what a target does not hold, so a held part draws its requests, and a target
- * with much to read pushes them away, both in the same unit. A part that the chosen target does not hold
- * yet costs more than its reading: it drives another part out. All entries rank the targets for a part by
- * the same hash, and only the first of the ranking is free of that cost; so without telling each other they
- * build up one copy of each part, and a further copy only where the first target is behind by more than the
- * copy costs. A copy is fetched from an engine that holds the part, which takes a quarter of the time of
- * reading it. Where this entry knows of none, the others will have sent the part to the first of the ranking,
- * so it is fetched from there; an engine that finds nothing there reads it, some milliseconds later. Without
- * that, only parts that the same entry had sent elsewhere were fetched, and 18% more tokens of shared parts
- * were read again (five replayed days with offset peaks and faults, one run a day).
+ * The load it is designed for is prompts that share long parts, sent to inference engines whose prefix caches hold
+ * only some of the parts. The cost of a target is the expected time to the first byte, including the prefill
+ * (processing of prompt tokens) of everything that its cache does not hold. Cached parts therefore attract
+ * requests to a target and its pending work repels them, both in the same unit.
+ *
+ * A part that the chosen target does not hold costs more than its prefill, because it evicts another part. All
+ * entries (proxy processes) rank the targets of a part by the same hash, and only the first of the ranking, the
+ * owner, is free of this extra cost. So entries converge on one copy of each part without coordination, and create
+ * another copy only if the owner is slower by more than the copy costs.
+ *
+ * A copy is fetched from an engine that holds the part, which takes a quarter of the time of its prefill. If this
+ * entry knows no such engine, the copy is fetched from the owner, where other entries will have sent the part. An
+ * engine that finds nothing there processes the part itself, some milliseconds later. Fetching only the parts that
+ * the same entry had sent elsewhere caused 18% more repeated prefill of shared parts.
  */
 
 import type { IRandom } from '../../../base/common/random';
@@ -20,144 +23,149 @@
 import { findSharedPart } from '../prompts/promptShape';
 import { findBestRanked } from '../scheduling/prefixRanking';
 import type { SchedulableRequest } from '../scheduling/serviceScheduler';
-import type { TargetWork } from './targetLoadModel';
-import type { WorkChoiceFigures, WorkEstimateFigures } from './workPolicy';
+import type { TargetLoadModel } from './targetLoadModel';
+import type { WorkChoiceParameters, WorkEstimateParameters } from './workPolicy';
 import { getDueMs, getUrgency } from './workQueue';
 
-/** What is asked. */
-export interface ChoiceQuestion {
+/** A request for which a target is to be chosen. */
+export interface TargetQuery {
 	readonly request: SchedulableRequest;
-	/** Targets that have been sent it already. */
-	readonly tried: readonly TargetId[];
+	/** Targets to which the request was already sent. */
+	readonly triedTargets: readonly TargetId[];
+	/** Whether the request can no longer meet its due time. */
 	readonly isLate: boolean;
-	/** It was in flight when a target died, and runs apart from others of that kind. */
-	readonly isKeptApart: boolean;
+	/** Whether the request was in flight when a target crashed and must not share a target with another such request. */
+	readonly isIsolated: boolean;
 }
 
-/** A target, and why it was chosen. */
-export interface WorkChoice {
-	readonly target: TargetWork;
-	/** The target from which this one should fetch the shared part of the prompt. */
+/** The chosen target, and a description of the reasons for the choice. */
+export interface TargetChoice {
+	readonly target: TargetLoadModel;
+	/** The target from which the chosen target should fetch the shared prompt part. */
 	readonly fetchFrom: TargetId | undefined;
-	/** Tokens of it that are known to be there. */
+	/** Tokens that `fetchFrom` is known to hold; 0 if it is only assumed to hold them. */
 	readonly fetchedTokens: number;
 	readonly reason: string;
 }
 
-/** Chooses for one service. */
+/** Chooses targets for the requests of one service. */
 export class WorkTargetChooser {
 	constructor(
-		private readonly figures: WorkChoiceFigures,
-		private readonly estimate: WorkEstimateFigures,
+		private readonly parameters: WorkChoiceParameters,
+		private readonly estimateParameters: WorkEstimateParameters,
 		private readonly random: IRandom,
 	) {}
 
 	/**
-	 * The best target, or undefined where none has room. A target without room that would still be sooner than
-	 * all others is waited for, as long as the request can be in time there: sent to another one in the
-	 * meantime, it would read its prompt anew and drive another one out.
+	 * Returns the target with the lowest cost, or undefined if the request should wait. A request waits for a target
+	 * without capacity that is cheaper than all targets with capacity and can still meet the due time: another target
+	 * would have to process the whole prompt and evict a cached part.
 	 */
-	choose(targets: readonly TargetWork[], question: ChoiceQuestion, nowMs: number): WorkChoice | undefined {
-		const priced = this.listPriced(targets, question, nowMs);
-		const best = findCheapest(priced);
-		const bestNow = findCheapest(priced.filter(({ hasRoom }) => hasRoom));
+	choose(targets: readonly TargetLoadModel[], query: TargetQuery, nowMs: number): TargetChoice | undefined {
+		const candidates = this.listCandidates(targets, query, nowMs);
+		const best = findCheapest(candidates);
+		const bestNow = findCheapest(candidates.filter(({ hasCapacity }) => hasCapacity));
 		if (best === undefined || bestNow === undefined) {
 			return undefined;
 		}
 		const isWorthWaiting =
-			!best.hasRoom && nowMs + best.firstMs <= getDueMs(question.request) && best.costMs < bestNow.costMs;
+			!best.hasCapacity &&
+			nowMs + best.firstByteMs <= getDueMs(query.request) &&
+			best.costMs < bestNow.costMs;
 		if (isWorthWaiting) {
 			return undefined;
 		}
-		const { target, holder, fetchedTokens } = bestNow;
-		return { target, fetchFrom: holder?.id, fetchedTokens, reason: describe(bestNow, nowMs) };
+		const { target, fetchSource, fetchedTokens } = bestNow;
+		return { target, fetchFrom: fetchSource?.id, fetchedTokens, reason: describeChoice(bestNow, nowMs) };
 	}
 
-	private listPriced(
-		targets: readonly TargetWork[],
-		question: ChoiceQuestion,
+	private listCandidates(
+		targets: readonly TargetLoadModel[],
+		query: TargetQuery,
 		nowMs: number,
-	): PricedTarget[] {
-		const { request, tried, isKeptApart } = question;
+	): TargetCandidate[] {
+		const { request, triedTargets, isIsolated } = query;
 		const urgency = getUrgency(request);
-		const shared = this.findShared(request);
-		const open = targets.filter(target => target.isOpen(nowMs));
-		const [owner, second] = shared === undefined ? [] : findBestRanked(open, shared.id, 2);
-		const holder = shared && open.find(target => target.hasPart(shared.id));
-		return open
-			.filter(target => target.isColdOpen(nowMs) && !tried.includes(target.id))
-			.filter(target => !(isKeptApart && target.hasKeptApart()))
+		const shared = this.findSharedPart(request);
+		const available = targets.filter(target => target.isAvailable(nowMs));
+		const [owner, secondRanked] = shared === undefined ? [] : findBestRanked(available, shared.id, 2);
+		const knownHolder = shared && available.find(target => target.hasPart(shared.id));
+		return available
+			.filter(target => target.isColdSendAllowed(nowMs) && !triedTargets.includes(target.id))
+			.filter(target => !(isIsolated && target.hasIsolatedRequest()))
 			.map(target => {
-				const isHeld = shared !== undefined && target.hasPart(shared.id);
-				const fetchedTokens = isHeld || holder === undefined ? 0 : (shared?.tokens ?? 0);
-				const likelyHolder = holder ?? (target === owner ? second : owner);
-				const source = isHeld ? undefined : likelyHolder;
-				const firstMs = target.estimateFirstMs(request, nowMs, fetchedTokens);
-				const delayMs = target.estimateDelayMs(request, nowMs, fetchedTokens);
+				const isCached = shared !== undefined && target.hasPart(shared.id);
+				const fetchedTokens = isCached || knownHolder === undefined ? 0 : (shared?.tokens ?? 0);
+				const likelyHolder = knownHolder ?? (target === owner ? secondRanked : owner);
+				const fetchSource = isCached ? undefined : likelyHolder;
+				const firstByteMs = target.estimateFirstByteMs(request, nowMs, fetchedTokens);
+				const delayMs = target.estimateAddedDelayMs(request, nowMs, fetchedTokens);
 				const isCopy = shared !== undefined && target !== owner && !target.hasPart(shared.id);
-				const copyMs = isCopy ? this.computeCopyCost(shared, fetchedTokens > 0) : 0;
-				const { failureCost, jitter, delayCost } = this.figures;
-				const factor = (1 + failureCost * target.failureShare) * (1 + jitter * this.random.pickFraction());
-				const hasRoom = target.hasRoom({ ...question, urgency }, nowMs);
+				const copyMs = isCopy ? this.computeCopyCostMs(shared, fetchedTokens > 0) : 0;
+				const { failureCost, jitter, delayCost } = this.parameters;
+				const factor = (1 + failureCost * target.failureRate) * (1 + jitter * this.random.pickFraction());
+				const hasCapacity = target.hasCapacity({ ...query, urgency }, nowMs);
 				return {
 					target,
-					firstMs,
-					readingMs: target.estimateReadingMs(request, fetchedTokens),
+					firstByteMs,
+					prefillMs: target.estimatePrefillMs(request, fetchedTokens),
 					fetchedTokens,
-					costMs: (firstMs + copyMs + delayCost * delayMs) * factor,
-					hasRoom,
-					holder: source,
+					costMs: (firstByteMs + copyMs + delayCost * delayMs) * factor,
+					hasCapacity,
+					fetchSource,
 					owner,
 					shared,
 				};
 			});
 	}
 
-	private findShared({ work }: SchedulableRequest): PromptPart | undefined {
-		return work?.prompt && findSharedPart(work.prompt, this.figures.leastSharedTokens);
+	private findSharedPart({ work }: SchedulableRequest): PromptPart | undefined {
+		return work?.prompt && findSharedPart(work.prompt, this.parameters.minSharedTokens);
 	}
 
-	/** A copy drives out another part, which must be read or fetched again in its turn. */
-	private computeCopyCost({ tokens }: PromptPart, isFetched: boolean): number {
-		const { tokensPerMs, fetchedTokensPerMs } = this.estimate;
-		return (this.figures.copyCost * tokens) / (isFetched ? fetchedTokensPerMs : tokensPerMs);
+	/** A copy evicts another part, which must later be processed or fetched again. */
+	private computeCopyCostMs({ tokens }: PromptPart, isFetched: boolean): number {
+		const { prefillTokensPerMs, fetchedTokensPerMs } = this.estimateParameters;
+		return (this.parameters.copyCost * tokens) / (isFetched ? fetchedTokensPerMs : prefillTokensPerMs);
 	}
 }
 
-/** A target with what sending there costs. */
-interface PricedTarget {
-	readonly target: TargetWork;
-	readonly firstMs: number;
-	readonly readingMs: number;
+/** A target with the estimated cost of sending the request there. */
+interface TargetCandidate {
+	readonly target: TargetLoadModel;
+	readonly firstByteMs: number;
+	readonly prefillMs: number;
 	readonly fetchedTokens: number;
 	readonly costMs: number;
-	readonly hasRoom: boolean;
-	/** Which other target the shared part can be fetched from. */
-	readonly holder: TargetWork | undefined;
-	/** The target that should hold the shared part. */
-	readonly owner: TargetWork | undefined;
+	readonly hasCapacity: boolean;
+	/** Another target from which the shared part can be fetched. */
+	readonly fetchSource: TargetLoadModel | undefined;
+	/** The first target in the hash ranking of the shared part. */
+	readonly owner: TargetLoadModel | undefined;
 	readonly shared: PromptPart | undefined;
 }
 
-function findCheapest(priced: readonly PricedTarget[]): PricedTarget | undefined {
-	return priced.reduce<PricedTarget | undefined>(
+function findCheapest(candidates: readonly TargetCandidate[]): TargetCandidate | undefined {
+	return candidates.reduce<TargetCandidate | undefined>(
 		(best, item) => (best === undefined || item.costMs < best.costMs ? item : best),
 		undefined,
 	);
 }
 
-function describe(
-	{ target, owner, shared, firstMs, readingMs, holder }: PricedTarget,
+function describeChoice(
+	{ target, owner, shared, firstByteMs, prefillMs, fetchSource }: TargetCandidate,
 	nowMs: number,
 ): string {
 	const waitMs = Math.round(target.estimateWaitMs(nowMs));
 	const load =
-		`${target.running} of ${Math.round(target.estimateRunning(nowMs))} running, ${waitMs} ms ahead, ` +
-		`${Math.round(readingMs)} ms to read, first byte in ${Math.round(firstMs)} ms`;
+		`${target.running} own of ${Math.round(target.estimateRunningRequests(nowMs))} running, ${waitMs} ms queued ahead, ` +
+		`${Math.round(prefillMs)} ms prefill, first byte in ${Math.round(firstByteMs)} ms`;
 	if (shared === undefined) {
-		return `nothing shared, ${load}`;
+		return `no shared prompt part, ${load}`;
 	}
-	const place = target === owner ? 'first for' : 'not first for';
-	const source = target.hasPart(shared.id) ? 'held' : `from ${holder?.id ?? 'anew'}`;
-	return `${place} part ${shared.id}, ${source}, ${load}`;
+	const rank = target === owner ? 'owner of' : 'not owner of';
+	const source = target.hasPart(shared.id)
+		? 'cached'
+		: `not cached, fetch source ${fetchSource?.id ?? 'none'}`;
+	return `${rank} part ${shared.id}, ${source}, ${load}`;
 }
--- a/src/entry/common/workScheduling/targetLoadModel.ts
+++ b/src/entry/common/workScheduling/targetLoadModel.ts
@@ -1,15 +1,16 @@
 /**
- * The work at one target as this entry estimates it: how long until a request sent now gives its first byte.
+ * Models the load of one target as this entry (proxy process) estimates it, to predict how long a request sent now
+ * would wait for its first byte.
  *
- * An engine reads prompts one after the other, in pieces between the steps of what runs, so a prompt waits
- * for those before it. What is before it is told by no report in time; it is what was sent there and has not
- * begun to answer.
+ * An inference engine processes prompts (prefill) one after the other, interleaved with the generation of running
+ * answers, so a prompt waits for the prompts before it. Load reports arrive too late to show that backlog. It is
+ * estimated from the prompts that were sent to the engine and whose answers have not begun.
  *
- * A plain target runs as many requests as it has slots; more wait for one of these to end.
+ * A plain target runs as many requests as it has slots. Further requests wait until a slot becomes free.
  *
- * How fast a target really is shows in its answers. Each target's times are held against the estimate, and
- * the ratio corrects the next ones: an engine that has turned slow is seen after a few answers, and is left
- * as soon as another one, cache or not, would be sooner.
+ * The observed times of each target are compared with the estimate, and their ratio corrects later estimates. An
+ * engine that becomes slow is recognised after a few answers, and then avoided as soon as another target would
+ * answer sooner, whether or not that target has the prompt cached.
  */
 
 import type { RequestId, TargetId } from '../../../core/ids/common/ids';
@@ -17,264 +18,269 @@
 import { computeTextHash } from '../scheduling/prefixRanking';
 import type { ReportedLoad, SchedulableRequest, SchedulableTarget } from '../scheduling/serviceScheduler';
 import { AttemptEnd } from '../scheduling/serviceScheduler';
-import type { ColdTurns } from './coldTargetRateLimiter';
-import { ColdAllowance } from './coldTargetRateLimiter';
-import { PromptCache } from './prefixCacheModel';
-import { UnansweredReading } from './pendingPrefill';
-import type { WorkEstimateFigures, WorkQueueFigures, WorkRetryFigures } from './workPolicy';
+import type { ColdTargetTurns } from './coldTargetRateLimiter';
+import { ColdTargetRateLimiter } from './coldTargetRateLimiter';
+import { PrefixCacheModel } from './prefixCacheModel';
+import { PendingPrefill } from './pendingPrefill';
+import type { WorkEstimateParameters, WorkQueueParameters, WorkRetryParameters } from './workPolicy';
 import { getUrgency } from './workQueue';
 
-/** One attempt of this entry at the target. */
-export interface TargetRun {
+/** A running attempt that this entry sent to the target. */
+export interface RunningAttempt {
 	readonly requestId: RequestId;
 	readonly startedMs: number;
-	/** Estimated reading of the prompt, in milliseconds; 0 for a plain request. */
-	readonly readingMs: number;
-	/** Estimated time to the first byte when it was sent, before the target's slowness. */
-	readonly expectedMs: number;
-	readonly isKeptApart: boolean;
+	/** Estimated prefill time in milliseconds; 0 for a plain request. */
+	readonly prefillMs: number;
+	/** Time to the first byte as estimated when the attempt was sent, without the slowness of the target. */
+	readonly expectedFirstByteMs: number;
+	readonly isIsolated: boolean;
 	readonly urgency: number;
 	hasFirstByte: boolean;
 }
 
-/** What is asked of the room at a target. */
-export interface RoomQuestion {
+/** A request for which capacity is checked. */
+export interface CapacityQuery {
 	readonly isLate: boolean;
 	/** 0 is the most urgent. */
 	readonly urgency: number;
 }
 
-/** Weight of one answer in the share of failures; some ten answers show a target that fails a part. */
-const failureWeight = 0.1;
+/** Weight of one answer in the failure rate: some ten answers reveal a target that fails part of its requests. */
+const failureUpdateWeight = 0.1;
 
-/** One target with what this entry knows of its work. */
-export class TargetWork {
+/** Load, cache contents, speed and failures of one target, as estimated by this entry. */
+export class TargetLoadModel {
 	readonly id: TargetId;
 	readonly idHash: number;
-	private readonly runs = new Map<RequestId, TargetRun>();
-	private readonly cold = new ColdAllowance();
-	private readonly unanswered: UnansweredReading;
-	private cache: PromptCache;
+	private readonly attempts = new Map<RequestId, RunningAttempt>();
+	private readonly coldRateLimiter = new ColdTargetRateLimiter();
+	private readonly pendingPrefill: PendingPrefill;
+	private prefixCache: PrefixCacheModel;
 	private measuredSlowness = 1;
 	private typicalSlowness = 1;
-	private failures = 0;
-	private othersAtReport = 0;
-	private reportedMs = Number.NEGATIVE_INFINITY;
+	private averageFailures = 0;
+	private reportedOtherRequests = 0;
+	private reportTimeMs = Number.NEGATIVE_INFINITY;
 	private pausedUntilMs = 0;
-	private failuresInRow = 0;
+	private consecutivePauses = 0;
 
 	constructor(
-		private described: SchedulableTarget,
-		private readonly estimate: WorkEstimateFigures,
-		private readonly queue: WorkQueueFigures,
+		private current: SchedulableTarget,
+		private readonly estimate: WorkEstimateParameters,
+		private readonly queueParameters: WorkQueueParameters,
 	) {
-		this.id = described.id;
-		this.idHash = computeTextHash(described.id);
-		this.cache = new PromptCache(described.registered?.cacheTokens ?? 0);
-		this.unanswered = new UnansweredReading(estimate.othersFadeMs);
+		this.id = current.id;
+		this.idHash = computeTextHash(current.id);
+		this.prefixCache = new PrefixCacheModel(current.registered?.cacheTokens ?? 0);
+		this.pendingPrefill = new PendingPrefill(estimate.pendingPrefillTimeConstantMs);
 	}
 
-	get target(): SchedulableTarget {
-		return this.described;
+	get description(): SchedulableTarget {
+		return this.current;
 	}
 
 	get running(): number {
-		return this.runs.size;
+		return this.attempts.size;
 	}
 
-	/** An engine reads prompts; a plain target does not. */
+	/** Whether the target is an inference engine with a prefix cache, not a plain target. */
 	get isEngine(): boolean {
-		return (this.described.registered?.cacheTokens ?? 0) > 0;
+		return (this.current.registered?.cacheTokens ?? 0) > 0;
 	}
 
-	/** Failed answers of late, as a share. */
-	get failureShare(): number {
-		return this.failures;
+	/** Moving average of the share of failed answers. */
+	get failureRate(): number {
+		return this.averageFailures;
 	}
 
-	/** Its times against the estimate, as its own answers showed them. */
+	/** Moving average of the observed time divided by the estimated time. */
 	get ownSlowness(): number {
 		return this.measuredSlowness;
 	}
 
-	/** What is usual among the service's targets; a target is held to be different only if it clearly is. */
+	/** Sets the median slowness of the service's targets, which applies to this target unless it is clearly slower. */
 	setTypicalSlowness(typical: number): void {
 		this.typicalSlowness = typical;
 	}
 
 	/**
-	 * A few answers scatter by a third either way. Taken at its word, that scatter would move requests from the
-	 * target that holds their prompt to one that does not.
+	 * The mean of a few answers varies by a third in both directions. Using it directly would move requests from the
+	 * target that caches their prompt to one that does not.
 	 */
 	private get slowness(): number {
 		const ratio = this.measuredSlowness / this.typicalSlowness;
-		return ratio > this.estimate.clearlySlow ? this.measuredSlowness : this.typicalSlowness;
+		return ratio > this.estimate.slowTargetRatio ? this.measuredSlowness : this.typicalSlowness;
 	}
 
-	/** What the target last said of itself; another start of it holds and knows nothing of before. */
+	/** Updates the description of the target. After a restart the cache is empty and earlier measurements are void. */
 	setTarget(target: SchedulableTarget): void {
-		const isOtherStart = target.registered?.generation !== this.described.registered?.generation;
-		this.described = target;
-		if (isOtherStart) {
-			this.cache = new PromptCache(target.registered?.cacheTokens ?? 0);
+		const hasRestarted = target.registered?.generation !== this.current.registered?.generation;
+		this.current = target;
+		if (hasRestarted) {
+			this.prefixCache = new PrefixCacheModel(target.registered?.cacheTokens ?? 0);
 			this.measuredSlowness = 1;
-			this.failures = 0;
-			this.failuresInRow = 0;
+			this.averageFailures = 0;
+			this.consecutivePauses = 0;
 			this.pausedUntilMs = 0;
 		}
 	}
 
-	/** Whether it may be sent a request at all now. */
-	isOpen(nowMs: number): boolean {
-		const { isLeaving, registered } = this.described;
+	/** Whether the target accepts requests: it is not leaving, paused after a failure, or past its announced end. */
+	isAvailable(nowMs: number): boolean {
+		const { isLeaving, registered } = this.current;
 		return !isLeaving && nowMs >= this.pausedUntilMs && nowMs < (registered?.endsMs ?? Infinity);
 	}
 
 	isCold(nowMs: number): boolean {
-		return nowMs < (this.described.registered?.coldUntilMs ?? 0);
+		return nowMs < (this.current.registered?.coldUntilMs ?? 0);
 	}
 
-	private get coldTurns(): ColdTurns {
+	private get coldTurns(): ColdTargetTurns {
 		const {
 			coldUntilMs = 0,
 			coldRequestsPerSecond = Infinity,
 			entries = 1,
 			place = 0,
-		} = this.described.registered ?? {};
-		return { coldUntilMs, requestsPerSecond: coldRequestsPerSecond, entries, place };
+		} = this.current.registered ?? {};
+		return { coldUntilMs, requestsPerSecond: coldRequestsPerSecond, entryCount: entries, entryIndex: place };
 	}
 
-	/** Whether sparing a cold target allows a request now. */
-	isColdOpen(nowMs: number): boolean {
-		return !this.isCold(nowMs) || this.cold.isOpen(this.coldTurns, nowMs);
+	/** Whether a request may be sent now under the rate limit for targets that have just started. */
+	isColdSendAllowed(nowMs: number): boolean {
+		return !this.isCold(nowMs) || this.coldRateLimiter.isSendAllowed(this.coldTurns, nowMs);
 	}
 
-	/** When a closed target may be open again, in monotonic milliseconds. */
-	getNextOpenMs(nowMs: number): number {
-		return Math.max(this.pausedUntilMs, this.isCold(nowMs) ? this.cold.getNextMs(this.coldTurns, nowMs) : 0);
+	/** Returns when the current pause and rate limit end, in monotonic milliseconds. */
+	getNextAvailableMs(nowMs: number): number {
+		return Math.max(
+			this.pausedUntilMs,
+			this.isCold(nowMs) ? this.coldRateLimiter.getNextSendMs(this.coldTurns, nowMs) : 0,
+		);
 	}
 
-	hasKeptApart(): boolean {
-		return [...this.runs.values()].some(run => run.isKeptApart);
+	hasIsolatedRequest(): boolean {
+		return [...this.attempts.values()].some(attempt => attempt.isIsolated);
 	}
 
 	hasPart(id: string): boolean {
-		return this.cache.has(id);
+		return this.prefixCache.hasPart(id);
 	}
 
-	/** Whether a further request finds room; one that is late already leaves some to others. */
-	hasRoom({ isLate, urgency }: RoomQuestion, nowMs: number): boolean {
-		const { mostAheadMs, lateShare, beyondSlots, lateReserve } = this.queue;
-		const { slots } = this.described;
-		const inUse = this.estimateRunning(nowMs);
+	/** Whether the target has capacity for another request. Late requests leave part of the capacity to others. */
+	hasCapacity({ isLate, urgency }: CapacityQuery, nowMs: number): boolean {
+		const { maxPrefillAheadMs, latePrefillShare, slotOvercommitShare, lateSlotReserveShare } =
+			this.queueParameters;
+		const { slots } = this.current;
+		const inUse = this.estimateRunningRequests(nowMs);
 		if (!this.isEngine) {
-			return inUse + 1 <= slots * (isLate ? 1 - lateReserve : 1 + beyondSlots);
+			return inUse + 1 <= slots * (isLate ? 1 - lateSlotReserveShare : 1 + slotOvercommitShare);
 		}
-		const share = isLate ? lateShare : 1;
-		const aheadMs = this.estimateAhead(urgency, nowMs) * this.slowness;
-		return inUse < slots * (isLate ? 1 - lateReserve : 1) && aheadMs <= mostAheadMs * share;
+		const share = isLate ? latePrefillShare : 1;
+		const aheadMs = this.estimateAheadMs(urgency, nowMs) * this.slowness;
+		return inUse < slots * (isLate ? 1 - lateSlotReserveShare : 1) && aheadMs <= maxPrefillAheadMs * share;
 	}
 
-	/** Requests that run there, those of all entries together. */
-	estimateRunning(nowMs: number): number {
-		return this.runs.size + this.estimateOthers(nowMs);
+	/** Estimates the number of requests of all entries that run on the target. */
+	estimateRunningRequests(nowMs: number): number {
+		return this.attempts.size + this.estimateOtherRequests(nowMs);
 	}
 
 	/**
-	 * What sending the request there takes from the answers that run there, in milliseconds of all of them
-	 * together: while its prompt is read, each gets a token between two portions in place of one a step.
+	 * Estimates the delay that the request adds to the answers running on the target, in milliseconds summed over these
+	 * answers. During its prefill each of them gets one token per chunk of the prompt instead of one per step.
 	 */
-	estimateDelayMs(request: SchedulableRequest, nowMs: number, fetchedTokens = 0): number {
-		return this.estimateReadingMs(request, fetchedTokens) * this.estimateRunning(nowMs);
+	estimateAddedDelayMs(request: SchedulableRequest, nowMs: number, fetchedTokens = 0): number {
+		return this.estimatePrefillMs(request, fetchedTokens) * this.estimateRunningRequests(nowMs);
 	}
 
-	/** Reading of the request's prompt, in milliseconds; 0 for a plain request. */
-	estimateReadingMs({ work }: SchedulableRequest, fetchedTokens = 0): number {
-		return work?.prompt === undefined ? 0 : this.computeReadingMs(work.prompt, fetchedTokens);
+	/** Estimates the prefill time of the request in milliseconds; 0 for a plain request. */
+	estimatePrefillMs({ work }: SchedulableRequest, fetchedTokens = 0): number {
+		return work?.prompt === undefined ? 0 : this.computePrefillMs(work.prompt, fetchedTokens);
 	}
 
-	/** Free slots as this entry sees them. */
-	countFree(nowMs: number): number {
-		return Math.max(0, this.described.slots - this.runs.size - this.estimateOthers(nowMs));
+	/** Estimates the number of free slots. */
+	countFreeSlots(nowMs: number): number {
+		return Math.max(0, this.current.slots - this.attempts.size - this.estimateOtherRequests(nowMs));
 	}
 
 	/**
-	 * Milliseconds from now until the first byte of the request's answer, were it sent now; `fetchedTokens` of
-	 * its prompt come from another target.
+	 * Estimates the time to the first byte in milliseconds if the request were sent now and `fetchedTokens` of its
+	 * prompt were fetched from another target.
 	 */
-	estimateFirstMs(request: SchedulableRequest, nowMs: number, fetchedTokens = 0): number {
+	estimateFirstByteMs(request: SchedulableRequest, nowMs: number, fetchedTokens = 0): number {
 		const waitMs = this.estimateWaitMs(nowMs, getUrgency(request));
-		return (waitMs + this.computeUnloadedMs(request, fetchedTokens)) * this.slowness;
+		return (waitMs + this.computeIdleFirstByteMs(request, fetchedTokens)) * this.slowness;
 	}
 
 	/**
-	 * Milliseconds that a request sent now would wait at the target before it is worked on; the least urgent one
-	 * where no urgency is given.
+	 * Estimates the time in milliseconds that a request sent now would wait at the target before its processing begins.
+	 * Without an urgency, the request is taken to be the least urgent.
 	 */
 	estimateWaitMs(nowMs: number, urgency = Number.POSITIVE_INFINITY): number {
 		if (this.isEngine) {
-			const over = Math.max(0, this.estimateRunning(nowMs) + 1 - this.described.slots);
-			return this.estimateAhead(urgency, nowMs) + (over * this.estimate.streamRunMs) / this.described.slots;
+			const excess = Math.max(0, this.estimateRunningRequests(nowMs) + 1 - this.current.slots);
+			return this.estimateAheadMs(urgency, nowMs) + (excess * this.estimate.streamRunMs) / this.current.slots;
 		}
-		const inUse = this.estimateRunning(nowMs);
-		const over = Math.max(0, inUse + 1 - this.described.slots);
-		return (over * this.estimate.plainRunMs) / this.described.slots;
+		const inUse = this.estimateRunningRequests(nowMs);
+		const excess = Math.max(0, inUse + 1 - this.current.slots);
+		return (excess * this.estimate.plainRunMs) / this.current.slots;
 	}
 
-	/** Time to the first byte at this target if nothing else ran there. */
-	computeUnloadedMs({ work }: SchedulableRequest, fetchedTokens = 0): number {
+	/** Estimates the time to the first byte if the target were idle, without its slowness. */
+	computeIdleFirstByteMs({ work }: SchedulableRequest, fetchedTokens = 0): number {
 		if (work?.prompt === undefined) {
 			return this.estimate.plainRunMs;
 		}
-		return this.estimate.firstEventMs + this.computeReadingMs(work.prompt, fetchedTokens);
+		return this.estimate.idleFirstEventMs + this.computePrefillMs(work.prompt, fetchedTokens);
 	}
 
-	noteStart(request: SchedulableRequest, isKeptApart: boolean, fetchedTokens: number, nowMs: number): void {
+	noteStart(request: SchedulableRequest, isIsolated: boolean, fetchedTokens: number, nowMs: number): void {
 		const prompt = request.work?.prompt;
-		const readingMs = prompt === undefined ? 0 : this.computeReadingMs(prompt, fetchedTokens);
+		const prefillMs = prompt === undefined ? 0 : this.computePrefillMs(prompt, fetchedTokens);
 		const urgency = getUrgency(request);
-		const expectedMs = this.estimateWaitMs(nowMs, urgency) + this.computeUnloadedMs(request, fetchedTokens);
-		this.runs.set(request.id, {
+		const expectedFirstByteMs =
+			this.estimateWaitMs(nowMs, urgency) + this.computeIdleFirstByteMs(request, fetchedTokens);
+		this.attempts.set(request.id, {
 			requestId: request.id,
 			startedMs: nowMs,
-			readingMs,
-			expectedMs,
-			isKeptApart,
+			prefillMs,
+			expectedFirstByteMs,
+			isIsolated,
 			urgency,
 			hasFirstByte: false,
 		});
-		this.unanswered.noteSent(urgency, readingMs, nowMs);
+		this.pendingPrefill.noteSent(urgency, prefillMs, nowMs);
 		if (prompt !== undefined) {
-			this.cache.noteSent(prompt);
+			this.prefixCache.noteSent(prompt);
 		}
 		if (this.isCold(nowMs)) {
-			this.cold.noteSent(this.coldTurns, nowMs);
+			this.coldRateLimiter.noteSent(this.coldTurns, nowMs);
 		}
 	}
 
 	noteFirstByte(requestId: RequestId, nowMs: number): void {
-		const run = this.runs.get(requestId);
-		if (run === undefined || run.hasFirstByte) {
+		const attempt = this.attempts.get(requestId);
+		if (attempt === undefined || attempt.hasFirstByte) {
 			return;
 		}
-		run.hasFirstByte = true;
-		this.failuresInRow = 0;
+		attempt.hasFirstByte = true;
+		this.consecutivePauses = 0;
 		if (this.isEngine) {
-			this.noteSpeed((nowMs - run.startedMs) / Math.max(1, run.expectedMs));
+			this.updateSlowness((nowMs - attempt.startedMs) / Math.max(1, attempt.expectedFirstByteMs));
 		}
-		this.unanswered.noteSettled(run.urgency, run.readingMs, nowMs);
+		this.pendingPrefill.noteCompleted(attempt.urgency, attempt.prefillMs, nowMs);
 	}
 
-	/** An attempt ended; one that refused, failed or could not be reached is left alone for a while. */
-	noteEnd(requestId: RequestId, end: AttemptEnd, retry: WorkRetryFigures, nowMs: number): void {
-		const run = this.runs.get(requestId);
-		this.runs.delete(requestId);
-		if (run?.hasFirstByte === false) {
-			this.unanswered.noteSettled(run.urgency, run.readingMs, nowMs);
+	/** Records the end of an attempt. The target is paused if it refused, failed, was silent or could not be reached. */
+	noteEnd(requestId: RequestId, end: AttemptEnd, retry: WorkRetryParameters, nowMs: number): void {
+		const attempt = this.attempts.get(requestId);
+		this.attempts.delete(requestId);
+		if (attempt?.hasFirstByte === false) {
+			this.pendingPrefill.noteCompleted(attempt.urgency, attempt.prefillMs, nowMs);
 		}
 		switch (end) {
 			case AttemptEnd.Answered:
-				this.noteAnswered(run, nowMs);
+				this.noteAnswered(attempt, nowMs);
 				return;
 			case AttemptEnd.Cancelled:
 				return;
@@ -293,50 +299,55 @@
 	}
 
 	noteLoad(load: ReportedLoad, nowMs: number): void {
-		this.othersAtReport = Math.max(0, load.running + load.waiting - this.runs.size);
-		this.reportedMs = nowMs - load.ageMs;
+		this.reportedOtherRequests = Math.max(0, load.running + load.waiting - this.attempts.size);
+		this.reportTimeMs = nowMs - load.ageMs;
 	}
 
-	private noteAnswered(run: TargetRun | undefined, nowMs: number): void {
-		this.failures -= this.failures * failureWeight;
-		if (run !== undefined && !this.isEngine) {
-			this.noteSpeed((nowMs - run.startedMs) / Math.max(1, run.expectedMs));
+	private noteAnswered(attempt: RunningAttempt | undefined, nowMs: number): void {
+		this.averageFailures -= this.averageFailures * failureUpdateWeight;
+		if (attempt !== undefined && !this.isEngine) {
+			this.updateSlowness((nowMs - attempt.startedMs) / Math.max(1, attempt.expectedFirstByteMs));
 		}
 	}
 
 	private noteFailure(): void {
-		this.failures += (1 - this.failures) * failureWeight;
+		this.averageFailures += (1 - this.averageFailures) * failureUpdateWeight;
 	}
 
-	private pause({ firstPauseMs, mostPauseMs }: WorkRetryFigures, nowMs: number): void {
-		this.pausedUntilMs = nowMs + Math.min(mostPauseMs, firstPauseMs * 2 ** this.failuresInRow);
-		this.failuresInRow++;
+	private pause({ initialPauseMs, maxPauseMs }: WorkRetryParameters, nowMs: number): void {
+		this.pausedUntilMs = nowMs + Math.min(maxPauseMs, initialPauseMs * 2 ** this.consecutivePauses);
+		this.consecutivePauses++;
 	}
 
-	/** Requests of other entries there: the last report, fading into as many as this entry's own. */
-	private estimateOthers(nowMs: number): number {
-		const { share } = this.described;
-		const neutral = this.runs.size * (1 / share - 1);
-		const belief = Math.exp(-Math.max(0, nowMs - this.reportedMs) / this.estimate.reportFadeMs);
-		return neutral + (this.othersAtReport - neutral) * belief;
+	/**
+	 * Estimates the number of requests that other entries run on the target. The last load report loses weight with its
+	 * age, in favour of the assumption that each other entry runs as many requests as this one.
+	 */
+	private estimateOtherRequests(nowMs: number): number {
+		const { share } = this.current;
+		const assumedOthers = this.attempts.size * (1 / share - 1);
+		const reportWeight = Math.exp(
+			-Math.max(0, nowMs - this.reportTimeMs) / this.estimate.reportTimeConstantMs,
+		);
+		return assumedOthers + (this.reportedOtherRequests - assumedOthers) * reportWeight;
 	}
 
-	/** Reading of prompts that stands before a new one, in milliseconds of a target of usual speed. */
-	private estimateAhead(urgency: number, nowMs: number): number {
-		const others = 1 / this.described.share - 1;
-		return this.unanswered.sumOwn(urgency) + others * this.unanswered.computeMeanOwn(urgency, nowMs);
+	/** Estimates the prefill work of all entries ahead of a new prompt, in milliseconds at the assumed speed. */
+	private estimateAheadMs(urgency: number, nowMs: number): number {
+		const others = 1 / this.current.share - 1;
+		return this.pendingPrefill.sumMs(urgency) + others * this.pendingPrefill.computeMeanMs(urgency, nowMs);
 	}
 
-	private computeReadingMs(prompt: PromptShape, fetchedTokens: number): number {
-		const { tokensPerMs, fetchedTokensPerMs } = this.estimate;
-		const missing = this.cache.countMissing(prompt);
+	private computePrefillMs(prompt: PromptShape, fetchedTokens: number): number {
+		const { prefillTokensPerMs, fetchedTokensPerMs } = this.estimate;
+		const missing = this.prefixCache.countMissing(prompt);
 		const fetched = Math.min(missing, fetchedTokens);
-		return (missing - fetched) / tokensPerMs + fetched / fetchedTokensPerMs;
+		return (missing - fetched) / prefillTokensPerMs + fetched / fetchedTokensPerMs;
 	}
 
-	private noteSpeed(ratio: number): void {
-		const { speedWeight, leastSlowness, mostSlowness } = this.estimate;
-		const bounded = Math.min(mostSlowness, Math.max(leastSlowness, ratio));
-		this.measuredSlowness += (bounded - this.measuredSlowness) * speedWeight;
+	private updateSlowness(ratio: number): void {
+		const { slownessUpdateWeight, minSlowness, maxSlowness } = this.estimate;
+		const bounded = Math.min(maxSlowness, Math.max(minSlowness, ratio));
+		this.measuredSlowness += (bounded - this.measuredSlowness) * slownessUpdateWeight;
 	}
 }
--- a/src/entry/common/workScheduling/test/engineSimulation.ts
+++ b/src/entry/common/workScheduling/test/engineSimulation.ts
@@ -1,6 +1,7 @@
 /**
- * Engines on a virtual clock: each reads prompts one after the other, the most urgent first, keeps the parts
- * that it has read, and streams for a while. Requests go through a scheduler; what callers received is counted.
+ * Simulates inference engines on a virtual clock. Each engine processes prompts one after the other, the most
+ * urgent first, caches the parts that it has processed, and then streams its answer for some time. Requests go
+ * through a scheduler, and the outcomes of callers are counted.
  */
 
 import { ManualTimerService } from '../../../../base/common/manualTimerService';
@@ -16,80 +17,81 @@
 } from '../../scheduling/serviceScheduler';
 import { AttemptEnd, ScheduleDecisionKind } from '../../scheduling/serviceScheduler';
 
-/** A kind of request. */
+/** A kind of request, with its arrival rate, prompt and time limits. */
 export interface RequestKind {
 	readonly name: string;
 	readonly perSecond: number;
-	/** How many shared parts there are, and the size of each in tokens. */
+	/** Number of different shared parts, and the size of each in tokens. */
 	readonly sharedParts: number;
 	readonly sharedTokens: number;
 	readonly ownTokens: number;
 	readonly urgency: number;
-	readonly aimMs: number;
+	/** Time from arrival to the due time of the first byte, in milliseconds. */
+	readonly dueAfterMs: number;
 	readonly deadlineMs: number;
-	/** How long the answer runs after its first event. */
+	/** Duration of the answer after its first event, in milliseconds. */
 	readonly runMs: number;
 }
 
-/** How the engines are. */
+/** Properties of the simulated engines. */
 export interface EngineOptions {
 	readonly engines: number;
 	readonly slots: number;
 	readonly tokensPerMs: number;
 	readonly cacheTokens: number;
-	/** Entries that share the engines, each with a scheduler that sees its own requests only; 1 if left out. */
+	/** Entries that share the engines, each with its own scheduler that sees only its own requests; default 1. */
 	readonly entries?: number;
-	/** Factor on the work of an engine, by its place. */
+	/** Factor on the processing times of an engine, by its index. */
 	readonly slowness?: Readonly<Record<number, number>>;
 }
 
-/** What callers of one kind received. */
+/** Outcomes of the requests of one kind. */
 export interface KindResult {
-	asked: number;
-	inAim: number;
+	submitted: number;
+	onTime: number;
 	late: number;
 	refused: number;
 	/** Longest time from the arrival to a refusal, in milliseconds. */
 	longestRefusalMs: number;
 }
 
-/** What happened. */
-export interface WorldResult {
+/** Results of a simulation. */
+export interface SimulationResult {
 	readonly kinds: ReadonlyMap<string, KindResult>;
-	/** Tokens of shared parts read by an engine that another one had read before. */
-	readonly readAgain: number;
+	/** Tokens of shared parts that an engine processed although an engine had processed them before. */
+	readonly repeatedPrefillTokens: number;
 }
 
 interface Engine {
 	readonly id: TargetId;
-	readonly held: Set<string>;
+	readonly cachedParts: Set<string>;
 	readonly slowness: number;
-	/** Prompts to read, in order. */
-	readonly line: WaitingPrompt[];
-	isReading: boolean;
+	/** Prompts to process, in order. */
+	readonly queue: WaitingPrompt[];
+	isPrefilling: boolean;
 }
 
 interface WaitingPrompt {
 	readonly urgency: number;
-	/** Reads it, and gives how long that takes in milliseconds. */
-	readonly read: () => number;
-	readonly handleRead: () => void;
+	/** Updates the cache and returns the duration of the prefill, in milliseconds. */
+	readonly beginPrefill: () => number;
+	readonly handlePrefillEnd: () => void;
 }
 
-interface KnownRequest {
+interface SubmittedRequest {
 	readonly request: SchedulableRequest;
 	readonly kind: RequestKind;
 	readonly scheduler: IServiceScheduler;
 }
 
 const firstEventMs = 30;
-/** One engine fetches from another at this rate. */
+/** Rate at which an engine fetches cached tokens from another. */
 const fetchedTokensPerMs = 200;
 const stepMs = 5;
-/** Between the random numbers of two entries. */
-const seedStep = 1_000;
+/** Difference between the random seeds of two entries. */
+const entrySeedOffset = 1_000;
 
-/** An engine as its registration describes it to one of the entries that share it. */
+/** Creates the description of an engine for one of the entries that share it. */
 export function createEngineTarget(
 	id: string,
 	{ slots, cacheTokens, entries = 1 }: Pick<EngineOptions, 'slots' | 'cacheTokens' | 'entries'>,
@@ -113,11 +115,11 @@
 	};
 }
 
-/** A request for one answer to a prompt. */
+/** Creates a request for an answer to a prompt. */
 export function createPromptedRequest(
 	id: RequestId,
 	prompt: PromptShape,
-	{ aimMs, deadlineMs, urgency }: Pick<RequestKind, 'aimMs' | 'deadlineMs' | 'urgency'>,
+	{ dueAfterMs, deadlineMs, urgency }: Pick<RequestKind, 'dueAfterMs' | 'deadlineMs' | 'urgency'>,
 	nowMs: number,
 ): SchedulableRequest {
 	return {
@@ -129,33 +131,33 @@
 		prefixKey: undefined,
 		bodyBytes: 100,
 		isRepeatable: false,
-		work: { dueMs: nowMs + aimMs, urgency, prompt, mostAttempts: 1, isResumable: false },
+		work: { dueMs: nowMs + dueAfterMs, urgency, prompt, mostAttempts: 1, isResumable: false },
 	};
 }
 
-/** Plays arrivals for a while, and lets what is under way end. */
-export function runEngines(
+/** Simulates arrivals for a number of seconds, and then lets the remaining requests finish. */
+export function runEngineSimulation(
 	createScheduler: (random: SeededRandom) => IServiceScheduler,
 	kinds: readonly RequestKind[],
 	options: EngineOptions,
 	seconds: number,
 	seed: number,
-): WorldResult {
-	const schedulers = Array.from({ length: options.entries ?? 1 }, (_, place) =>
-		createScheduler(new SeededRandom(seed + place * seedStep)),
+): SimulationResult {
+	const schedulers = Array.from({ length: options.entries ?? 1 }, (_, index) =>
+		createScheduler(new SeededRandom(seed + index * entrySeedOffset)),
 	);
-	return new EngineWorld(schedulers, kinds, options, seed).run(seconds);
+	return new EngineSimulation(schedulers, kinds, options, seed).run(seconds);
 }
 
-class EngineWorld {
+class EngineSimulation {
 	private readonly timers = new ManualTimerService();
 	private readonly random: SeededRandom;
 	private readonly engines: Engine[];
-	private readonly requests = new Map<RequestId, KnownRequest>();
+	private readonly submittedRequests = new Map<RequestId, SubmittedRequest>();
 	private readonly results = new Map<string, KindResult>();
-	private readonly readSomewhere = new Set<string>();
-	private readAgain = 0;
-	private sent = 0;
+	private readonly prefilledParts = new Set<string>();
+	private repeatedPrefillTokens = 0;
+	private submittedCount = 0;
 
 	constructor(
 		private readonly schedulers: readonly IServiceScheduler[],
@@ -164,15 +166,15 @@
 		seed: number,
 	) {
 		this.random = new SeededRandom(seed + 1);
-		this.engines = Array.from({ length: options.engines }, (_, place) => ({
-			id: `engine-${place + 1}` as TargetId,
-			held: new Set<string>(),
-			slowness: options.slowness?.[place] ?? 1,
-			line: [],
-			isReading: false,
+		this.engines = Array.from({ length: options.engines }, (_, index) => ({
+			id: `engine-${index + 1}` as TargetId,
+			cachedParts: new Set<string>(),
+			slowness: options.slowness?.[index] ?? 1,
+			queue: [],
+			isPrefilling: false,
 		}));
 		for (const { name } of kinds) {
-			this.results.set(name, { asked: 0, inAim: 0, late: 0, refused: 0, longestRefusalMs: 0 });
+			this.results.set(name, { submitted: 0, onTime: 0, late: 0, refused: 0, longestRefusalMs: 0 });
 		}
 		for (const scheduler of schedulers) {
 			scheduler.setTargets(
@@ -182,15 +184,15 @@
 		}
 	}
 
-	run(seconds: number): WorldResult {
+	run(seconds: number): SimulationResult {
 		for (const kind of this.kinds) {
 			this.scheduleArrival(kind, seconds * 1_000);
 		}
 		for (let step = 0; step < (seconds * 1_000 + 20_000) / stepMs; step++) {
 			this.timers.advance(stepMs);
-			this.carryOut();
+			this.applyDecisions();
 		}
-		return { kinds: this.results, readAgain: this.readAgain };
+		return { kinds: this.results, repeatedPrefillTokens: this.repeatedPrefillTokens };
 	}
 
 	private scheduleArrival(kind: RequestKind, untilMs: number): void {
@@ -206,14 +208,14 @@
 
 	private submit(kind: RequestKind): void {
 		const nowMs = this.timers.getNow();
-		this.sent++;
-		const id = `r-${this.sent}` as RequestId;
+		this.submittedCount++;
+		const id = `r-${this.submittedCount}` as RequestId;
 		const request = createPromptedRequest(id, this.createPrompt(kind, id), kind, nowMs);
 		const scheduler = this.schedulers[this.random.pickBelow(this.schedulers.length)]!;
-		this.requests.set(id, { request, kind, scheduler });
-		this.getResult(kind).asked++;
+		this.submittedRequests.set(id, { request, kind, scheduler });
+		this.getResult(kind).submitted++;
 		scheduler.submit(request, nowMs);
-		this.carryOut();
+		this.applyDecisions();
 	}
 
 	private createPrompt(kind: RequestKind, id: RequestId): PromptShape {
@@ -229,88 +231,88 @@
 		};
 	}
 
-	private carryOut(): void {
+	private applyDecisions(): void {
 		for (const scheduler of this.schedulers) {
-			this.carryOutOf(scheduler);
+			this.applyDecisionsOf(scheduler);
 		}
 	}
 
-	private carryOutOf(scheduler: IServiceScheduler): void {
+	private applyDecisionsOf(scheduler: IServiceScheduler): void {
 		const nowMs = this.timers.getNow();
 		for (const decision of scheduler.advance(nowMs)) {
-			const known = this.requests.get(decision.requestId);
-			if (known === undefined) {
+			const submitted = this.submittedRequests.get(decision.requestId);
+			if (submitted === undefined) {
 				continue;
 			}
 			if (decision.kind === ScheduleDecisionKind.Start) {
-				this.start(known, decision);
+				this.start(submitted, decision);
 				continue;
 			}
-			const result = this.getResult(known.kind);
+			const result = this.getResult(submitted.kind);
 			result.refused++;
-			result.longestRefusalMs = Math.max(result.longestRefusalMs, nowMs - known.request.arrivedMs);
+			result.longestRefusalMs = Math.max(result.longestRefusalMs, nowMs - submitted.request.arrivedMs);
 		}
 	}
 
-	private start({ request, kind, scheduler }: KnownRequest, { target, fetchFrom }: StartDecision): void {
+	private start({ request, kind, scheduler }: SubmittedRequest, { target, fetchFrom }: StartDecision): void {
 		const engine = this.engines.find(({ id }) => id === target)!;
-		const holder = this.engines.find(({ id }) => id === fetchFrom);
+		const fetchSource = this.engines.find(({ id }) => id === fetchFrom);
 		const { urgency, prompt, dueMs } = request.work!;
-		this.admit(engine, {
+		this.addPrompt(engine, {
 			urgency,
-			read: () => this.read(engine, prompt!, holder) * engine.slowness,
-			handleRead: () => {
+			beginPrefill: () => this.beginPrefill(engine, prompt!, fetchSource) * engine.slowness,
+			handlePrefillEnd: () => {
 				this.timers.schedule(firstEventMs * engine.slowness, () => {
-					const firstMs = this.timers.getNow();
-					scheduler.noteFirstByte(request.id, firstMs);
+					const firstByteMs = this.timers.getNow();
+					scheduler.noteFirstByte(request.id, firstByteMs);
 					const result = this.getResult(kind);
-					if (firstMs <= dueMs) {
-						result.inAim++;
+					if (firstByteMs <= dueMs) {
+						result.onTime++;
 					} else {
 						result.late++;
 					}
 					this.timers.schedule(kind.runMs, () => {
 						scheduler.noteEnd(request.id, AttemptEnd.Answered, this.timers.getNow());
-						this.carryOut();
+						this.applyDecisions();
 					});
 				});
 			},
 		});
 	}
 
-	private admit(engine: Engine, prompt: WaitingPrompt): void {
-		const behind = engine.line.findIndex(({ urgency }) => urgency > prompt.urgency);
-		engine.line.splice(behind < 0 ? engine.line.length : behind, 0, prompt);
-		this.readNext(engine);
+	private addPrompt(engine: Engine, prompt: WaitingPrompt): void {
+		const insertIndex = engine.queue.findIndex(({ urgency }) => urgency > prompt.urgency);
+		engine.queue.splice(insertIndex < 0 ? engine.queue.length : insertIndex, 0, prompt);
+		this.beginNextPrefill(engine);
 	}
 
-	private readNext(engine: Engine): void {
-		const next = engine.isReading ? undefined : engine.line.shift();
+	private beginNextPrefill(engine: Engine): void {
+		const next = engine.isPrefilling ? undefined : engine.queue.shift();
 		if (next === undefined) {
 			return;
 		}
-		engine.isReading = true;
-		this.timers.schedule(next.read(), () => {
-			engine.isReading = false;
-			next.handleRead();
-			this.readNext(engine);
+		engine.isPrefilling = true;
+		this.timers.schedule(next.beginPrefill(), () => {
+			engine.isPrefilling = false;
+			next.handlePrefillEnd();
+			this.beginNextPrefill(engine);
 		});
 	}
 
-	/** How long the engine is busy with the prompt; what it can fetch it need not read. */
-	private read(engine: Engine, prompt: PromptShape, holder: Engine | undefined): number {
+	/** Updates the cache and returns the processing time of a prompt, of which cached and fetchable parts need less. */
+	private beginPrefill(engine: Engine, prompt: PromptShape, fetchSource: Engine | undefined): number {
 		const [shared] = prompt.parts;
 		const { tokensPerMs } = this.options;
 		const ownMs = (prompt.promptTokens - (shared?.tokens ?? 0)) / tokensPerMs;
-		if (shared === undefined || engine.held.has(shared.id)) {
+		if (shared === undefined || engine.cachedParts.has(shared.id)) {
 			return ownMs;
 		}
-		const isFetched = holder?.held.has(shared.id) === true;
-		this.readAgain += !isFetched && this.readSomewhere.has(shared.id) ? shared.tokens : 0;
-		this.readSomewhere.add(shared.id);
-		engine.held.add(shared.id);
-		while (engine.held.size * shared.tokens > this.options.cacheTokens) {
-			engine.held.delete([...engine.held][0]!);
+		const isFetched = fetchSource?.cachedParts.has(shared.id) === true;
+		this.repeatedPrefillTokens += !isFetched && this.prefilledParts.has(shared.id) ? shared.tokens : 0;
+		this.prefilledParts.add(shared.id);
+		engine.cachedParts.add(shared.id);
+		while (engine.cachedParts.size * shared.tokens > this.options.cacheTokens) {
+			engine.cachedParts.delete([...engine.cachedParts][0]!);
 		}
 		return ownMs + shared.tokens / (isFetched ? fetchedTokensPerMs : tokensPerMs);
 	}
--- a/src/entry/common/workScheduling/test/pendingPrefill.test.ts
+++ b/src/entry/common/workScheduling/test/pendingPrefill.test.ts
@@ -1,35 +1,35 @@
-import { UnansweredReading } from '../pendingPrefill';
+import { PendingPrefill } from '../pendingPrefill';
 
-const fadeMs = 400;
+const timeConstantMs = 400;
 const question = 0;
 const draft = 1;
 
-describe('reading that has not been answered', () => {
-	// Others keep an engine busy, so it begins this entry's prompt seconds after it was sent. By the clock alone
-	// it would have been read long ago, and the next prompt would be sent to the same engine.
-	it('stays ahead until the answer begins, however long that takes', () => {
-		const reading = new UnansweredReading(fadeMs);
-		reading.noteSent(draft, 200, 0);
-		expect(reading.sumOwn(draft)).toBe(200);
-		expect(reading.computeMeanOwn(draft, 5_000)).toBeCloseTo(200, 0);
-		reading.noteSettled(draft, 200, 5_000);
-		expect(reading.sumOwn(draft)).toBe(0);
+describe('PendingPrefill', () => {
+	// Guards against sending more prompts to a busy engine: other entries keep it busy, so it begins this entry's
+	// prompt seconds after it was sent. Counted down with time, the prompt would seem to be finished long before.
+	it('counts a prompt until its answer begins, however long that takes', () => {
+		const pending = new PendingPrefill(timeConstantMs);
+		pending.noteSent(draft, 200, 0);
+		expect(pending.sumMs(draft)).toBe(200);
+		expect(pending.computeMeanMs(draft, 5_000)).toBeCloseTo(200, 0);
+		pending.noteCompleted(draft, 200, 5_000);
+		expect(pending.sumMs(draft)).toBe(0);
 	});
 
-	it('does not keep a more urgent request waiting', () => {
-		const reading = new UnansweredReading(fadeMs);
-		reading.noteSent(draft, 200, 0);
-		reading.noteSent(question, 10, 0);
-		expect(reading.sumOwn(question)).toBe(10);
-		expect(reading.sumOwn(draft)).toBe(210);
+	it('does not count less urgent prompts', () => {
+		const pending = new PendingPrefill(timeConstantMs);
+		pending.noteSent(draft, 200, 0);
+		pending.noteSent(question, 10, 0);
+		expect(pending.sumMs(question)).toBe(10);
+		expect(pending.sumMs(draft)).toBe(210);
 	});
 
-	it('remembers for a while what it was on average', () => {
-		const reading = new UnansweredReading(fadeMs);
-		reading.noteSent(draft, 100, 0);
-		expect(reading.computeMeanOwn(draft, 0)).toBe(0);
-		reading.noteSettled(draft, 100, fadeMs);
-		expect(reading.computeMeanOwn(draft, fadeMs)).toBeCloseTo(63, 0);
-		expect(reading.computeMeanOwn(draft, 2 * fadeMs)).toBeCloseTo(23, 0);
+	it('keeps a moving average', () => {
+		const pending = new PendingPrefill(timeConstantMs);
+		pending.noteSent(draft, 100, 0);
+		expect(pending.computeMeanMs(draft, 0)).toBe(0);
+		pending.noteCompleted(draft, 100, timeConstantMs);
+		expect(pending.computeMeanMs(draft, timeConstantMs)).toBeCloseTo(63, 0);
+		expect(pending.computeMeanMs(draft, 2 * timeConstantMs)).toBeCloseTo(23, 0);
 	});
 });
--- a/src/entry/common/workScheduling/test/targetChooser.test.ts
+++ b/src/entry/common/workScheduling/test/targetChooser.test.ts
@@ -1,19 +1,19 @@
 import { SeededRandom } from '../../../../base/common/random';
 import type { RequestId } from '../../../../core/ids/common/ids';
 import type { SchedulableRequest } from '../../scheduling/serviceScheduler';
-import type { WorkChoice } from '../targetChooser';
+import type { TargetChoice } from '../targetChooser';
 import { WorkTargetChooser } from '../targetChooser';
-import { TargetWork } from '../targetLoadModel';
+import { TargetLoadModel } from '../targetLoadModel';
 import { defaultWorkPolicy } from '../workPolicy';
 import { createEngineTarget, createPromptedRequest } from './engineSimulation';
 
 const { choice, estimate, queue } = defaultWorkPolicy;
 
-function createTarget(id: string): TargetWork {
-	return new TargetWork(createEngineTarget(id, { slots: 64, cacheTokens: 300_000 }), estimate, queue);
+function createTarget(id: string): TargetLoadModel {
+	return new TargetLoadModel(createEngineTarget(id, { slots: 64, cacheTokens: 300_000 }), estimate, queue);
 }
 
-function createDraft(id: string): SchedulableRequest {
+function createDraftRequest(id: string): SchedulableRequest {
 	const prompt = {
 		parts: [
 			{ id: 'history', tokens: 13_000 },
@@ -23,25 +23,33 @@
 		mostOutputTokens: 100,
 		hintedOutputTokens: undefined,
 	};
-	return createPromptedRequest(id as RequestId, prompt, { aimMs: 1_000, deadlineMs: 10_000, urgency: 1 }, 0);
+	return createPromptedRequest(
+		id as RequestId,
+		prompt,
+		{ dueAfterMs: 1_000, deadlineMs: 10_000, urgency: 1 },
+		0,
+	);
 }
 
-function choose(targets: readonly TargetWork[], tried: readonly TargetWork[] = []): WorkChoice | undefined {
+function choose(
+	targets: readonly TargetLoadModel[],
+	triedTargets: readonly TargetLoadModel[] = [],
+): TargetChoice | undefined {
 	const chooser = new WorkTargetChooser(choice, estimate, new SeededRandom(1));
-	const question = {
-		request: createDraft('d-1'),
-		tried: tried.map(({ id }) => id),
+	const query = {
+		request: createDraftRequest('d-1'),
+		triedTargets: triedTargets.map(({ id }) => id),
 		isLate: false,
-		isKeptApart: false,
+		isIsolated: false,
 	};
-	return chooser.choose(targets, question, 0);
+	return chooser.choose(targets, query, 0);
 }
 
-describe('where a shared part is fetched from', () => {
-	// An entry that has just started has sent nothing, while the others have sent each part to its first engine for
-	// hours. Read anew wherever the entry sends them, parts that lie next door keep engines busy for a third of a
-	// second each, and callers wait behind them.
-	it('is the engine that ranks first for it, where nothing is known of it', () => {
+describe('WorkTargetChooser', () => {
+	// Guards against repeated prefill after the start of an entry. The entry has sent nothing yet, but the other
+	// entries have sent each part to its owner, the engine ranked first. Processing such a part again instead of
+	// fetching it would keep an engine busy for a third of a second.
+	it('fetches a shared part from its owner if no engine is known to hold it', () => {
 		const targets = [createTarget('engine-1'), createTarget('engine-2'), createTarget('engine-3')];
 		const first = choose(targets)!.target;
 		const other = choose(targets, [first])!;
@@ -49,15 +57,15 @@
 		expect(other.fetchFrom).toBe(first.id);
 	});
 
-	it('is not counted on where nothing is known of it', () => {
+	it('does not expect to fetch a shared part if no engine is known to hold it', () => {
 		const targets = [createTarget('engine-1'), createTarget('engine-2')];
 		expect(choose(targets)!.fetchedTokens).toBe(0);
 	});
 
-	it('is the engine that it was sent to', () => {
+	it('fetches a shared part from the engine to which it was sent', () => {
 		const targets = [createTarget('engine-1'), createTarget('engine-2')];
 		const first = choose(targets)!.target;
-		first.noteStart(createDraft('d-0'), false, 0, 0);
+		first.noteStart(createDraftRequest('d-0'), false, 0, 0);
 		const other = choose(targets, [first])!;
 		expect(other.fetchFrom).toBe(first.id);
 		expect(other.fetchedTokens).toBe(13_000);
--- a/src/entry/common/workScheduling/test/workScheduler.test.ts
+++ b/src/entry/common/workScheduling/test/workScheduler.test.ts
@@ -3,13 +3,13 @@
 import { FifoScheduler } from '../../scheduling/fifoScheduler';
 import type { IServiceScheduler } from '../../scheduling/serviceScheduler';
 import { WorkScheduler } from '../workScheduler';
-import type { EngineOptions, KindResult, RequestKind, WorldResult } from './engineSimulation';
-import { createEngineTarget, createPromptedRequest, runEngines } from './engineSimulation';
+import type { EngineOptions, KindResult, RequestKind, SimulationResult } from './engineSimulation';
+import { createEngineTarget, createPromptedRequest, runEngineSimulation } from './engineSimulation';
 
 const seeds = [1, 2, 3];
-const playedSeconds = 12;
+const simulatedSeconds = 12;
 
-/** Long drafts of which the greater part is shared, as of round histories. */
+/** Requests with long prompts that are mostly shared. */
 const drafts: RequestKind = {
 	name: 'drafts',
 	perSecond: 7,
@@ -17,12 +17,12 @@
 	sharedTokens: 13_000,
 	ownTokens: 3_700,
 	urgency: 1,
-	aimMs: 1_000,
+	dueAfterMs: 1_000,
 	deadlineMs: 10_000,
 	runMs: 800,
 };
 
-/** Short questions, asked while a person waits. */
+/** Requests with short prompts, made while a person waits. */
 const questions: RequestKind = {
 	name: 'questions',
 	perSecond: 110,
@@ -30,132 +30,132 @@
 	sharedTokens: 60,
 	ownTokens: 300,
 	urgency: 0,
-	aimMs: 600,
+	dueAfterMs: 600,
 	deadlineMs: 5_000,
 	runMs: 300,
 };
 
 const engines: EngineOptions = { engines: 4, slots: 64, tokensPerMs: 40, cacheTokens: 330_000 };
 
-function createWork(random: SeededRandom): IServiceScheduler {
+function createWorkScheduler(random: SeededRandom): IServiceScheduler {
 	return new WorkScheduler(random, () => 1);
 }
 
-function createFifo(): IServiceScheduler {
+function createFifoScheduler(): IServiceScheduler {
 	return new FifoScheduler();
 }
 
-type Create = (random: SeededRandom) => IServiceScheduler;
+type CreateScheduler = (random: SeededRandom) => IServiceScheduler;
 
-function runWith(
-	create: Create,
+function runSeeds(
+	create: CreateScheduler,
 	kinds: readonly RequestKind[],
 	options: EngineOptions = engines,
-): WorldResult[] {
-	return seeds.map(seed => runEngines(create, kinds, options, playedSeconds, seed));
+): SimulationResult[] {
+	return seeds.map(seed => runEngineSimulation(create, kinds, options, simulatedSeconds, seed));
 }
 
 /** Sums of one kind over all seeds. */
-function sum(results: readonly WorldResult[], kind: RequestKind): KindResult {
+function sum(results: readonly SimulationResult[], kind: RequestKind): KindResult {
 	const found = results.map(({ kinds }) => kinds.get(kind.name)!);
 	const add = (measure: (result: KindResult) => number): number =>
 		found.reduce((total, result) => total + measure(result), 0);
 	return {
-		asked: add(({ asked }) => asked),
-		inAim: add(({ inAim }) => inAim),
+		submitted: add(({ submitted }) => submitted),
+		onTime: add(({ onTime }) => onTime),
 		late: add(({ late }) => late),
 		refused: add(({ refused }) => refused),
 		longestRefusalMs: Math.max(...found.map(({ longestRefusalMs }) => longestRefusalMs)),
 	};
 }
 
-function computeShare(results: readonly WorldResult[], kind: RequestKind): number {
-	const { inAim, asked } = sum(results, kind);
-	return inAim / asked;
+function computeOnTimeShare(results: readonly SimulationResult[], kind: RequestKind): number {
+	const { onTime, submitted } = sum(results, kind);
+	return onTime / submitted;
 }
 
-describe('a region at its usual load', () => {
-	// Drafts share long prompts, and an engine's memory holds a part of them. Sent wherever a slot is free, each
-	// engine reads each prompt, questions wait behind the reading, and crews wait at a gate.
-	it('answers nearly all within their aim, where taking turns does not', () => {
-		const work = runWith(createWork, [drafts, questions]);
-		const fifo = runWith(createFifo, [drafts, questions]);
-		expect(computeShare(work, drafts)).toBeGreaterThan(0.8);
-		expect(computeShare(work, questions)).toBeGreaterThan(0.85);
-		expect(computeShare(fifo, drafts)).toBeLessThan(computeShare(work, drafts));
+describe('WorkScheduler at usual load', () => {
+	// Guards against repeated prefill. Drafts share long prompts of which an engine caches only some. If requests were
+	// sent to any free slot, every engine would process every prompt, and questions would wait behind that work.
+	it('answers nearly all requests by their due time, unlike a FIFO scheduler', () => {
+		const work = runSeeds(createWorkScheduler, [drafts, questions]);
+		const fifo = runSeeds(createFifoScheduler, [drafts, questions]);
+		expect(computeOnTimeShare(work, drafts)).toBeGreaterThan(0.8);
+		expect(computeOnTimeShare(work, questions)).toBeGreaterThan(0.85);
+		expect(computeOnTimeShare(fifo, drafts)).toBeLessThan(computeOnTimeShare(work, drafts));
 	});
 
-	it('reads hardly a shared part twice', () => {
-		const again = (results: readonly WorldResult[]): number =>
-			results.reduce((total, { readAgain }) => total + readAgain, 0);
-		expect(again(runWith(createWork, [drafts]))).toBeLessThan(again(runWith(createFifo, [drafts])) / 4);
+	it('rarely causes repeated prefill of a shared part', () => {
+		const again = (results: readonly SimulationResult[]): number =>
+			results.reduce((total, { repeatedPrefillTokens }) => total + repeatedPrefillTokens, 0);
+		expect(again(runSeeds(createWorkScheduler, [drafts]))).toBeLessThan(
+			again(runSeeds(createFifoScheduler, [drafts])) / 4,
+		);
 	});
 });
 
-describe('a hot prompt', () => {
-	// Everybody asks about the same hotel at once. Bound to the one engine that holds its history, its requests
-	// would queue there while the others idle.
-	it('is copied to further engines when one falls behind', () => {
+describe('WorkScheduler with one hot prompt', () => {
+	// Guards against overloading one engine: all requests share one prompt part. If they were all sent to the engine
+	// that caches it, they would queue there while the other engines are idle.
+	it('copies the shared part to other engines if one falls behind', () => {
 		const hot = { ...drafts, perSecond: 30, sharedParts: 1, ownTokens: 4_000 };
-		expect(computeShare(runWith(createWork, [hot]), hot)).toBeGreaterThan(0.9);
+		expect(computeOnTimeShare(runSeeds(createWorkScheduler, [hot]), hot)).toBeGreaterThan(0.9);
 	});
 });
 
-describe('a slow engine', () => {
-	// One engine works at an eighth of its speed, and its health answers are good. Its share of the requests
-	// would all be late.
-	it('is left by what would be sooner elsewhere', () => {
+describe('WorkScheduler with a slow engine', () => {
+	// Guards against late answers from an engine that runs at an eighth of its speed but passes its health checks.
+	it('avoids the engine if another one would answer sooner', () => {
 		const slow = { ...engines, slowness: { 1: 8 } };
-		const result = runWith(createWork, [questions], slow);
-		expect(computeShare(result, questions)).toBeGreaterThan(0.97);
+		const result = runSeeds(createWorkScheduler, [questions], slow);
+		expect(computeOnTimeShare(result, questions)).toBeGreaterThan(0.97);
 	});
 });
 
-describe('engines that several entries share', () => {
-	// Each entry sends long prompts to the engine that it believes to be free, and none sees what the others send.
-	// Counted down by the clock, what stands before an engine looks short to all of them at once: they go on
-	// sending there, and callers wait for seconds while the next engine idles.
-	it('are not sent what another would answer sooner', () => {
+describe('WorkScheduler with engines that several entries share', () => {
+	// Guards against a backlog at one engine while another is idle. No entry sees the requests of other entries. If
+	// pending work were counted down with time, a backlog would look short to all entries at once, and they would keep
+	// sending to the same engine for seconds.
+	it('sends requests to the engine that answers them sooner', () => {
 		const shared = { ...engines, entries: 4 };
 		const busy = { ...drafts, perSecond: 8, sharedParts: 60, ownTokens: 6_000 };
-		const results = runWith(createWork, [busy, questions], shared);
-		expect(computeShare(results, questions)).toBeGreaterThan(0.95);
-		expect(computeShare(results, busy)).toBeGreaterThan(0.5);
+		const results = runSeeds(createWorkScheduler, [busy, questions], shared);
+		expect(computeOnTimeShare(results, questions)).toBeGreaterThan(0.95);
+		expect(computeOnTimeShare(results, busy)).toBeGreaterThan(0.5);
 	});
 });
 
-describe('more work than can be in time', () => {
+describe('WorkScheduler under overload', () => {
 	const burst = { ...drafts, perSecond: 60, sharedParts: 200 };
 
-	// Drafts come at several times what the engines can read. Served in turn, every one of them is late by the
-	// length of the line, and questions with them.
-	it('still answers questions in time', () => {
-		const work = computeShare(runWith(createWork, [burst, questions]), questions);
-		const fifo = computeShare(runWith(createFifo, [burst, questions]), questions);
+	// Guards against answering everything late: drafts arrive at several times the rate that the engines can process.
+	// Served in order of arrival, all drafts and questions would wait for the whole queue.
+	it('still answers questions by their due time', () => {
+		const work = computeOnTimeShare(runSeeds(createWorkScheduler, [burst, questions]), questions);
+		const fifo = computeOnTimeShare(runSeeds(createFifoScheduler, [burst, questions]), questions);
 		expect(work).toBeGreaterThan(0.95);
 		expect(work).toBeGreaterThan(2 * fifo);
 	});
 
-	it('answers a part of the drafts in time instead of all of them late', () => {
-		const work = sum(runWith(createWork, [burst]), burst);
-		const fifo = sum(runWith(createFifo, [burst]), burst);
-		expect(work.inAim).toBeGreaterThan(2 * fifo.inAim);
+	it('answers some drafts by their due time instead of all of them late', () => {
+		const work = sum(runSeeds(createWorkScheduler, [burst]), burst);
+		const fifo = sum(runSeeds(createFifoScheduler, [burst]), burst);
+		expect(work.onTime).toBeGreaterThan(2 * fifo.onTime);
 	});
 
-	// A caller whose request cannot be served must know it soon: held to its deadline, it has no time left to
-	// ask elsewhere.
-	it('refuses what cannot be served well before its deadline', () => {
-		const { refused, longestRefusalMs } = sum(runWith(createWork, [burst]), burst);
+	// Guards against late refusals: a caller that is refused at its deadline has no time left to retry elsewhere.
+	it('refuses requests that cannot be served well before their deadline', () => {
+		const { refused, longestRefusalMs } = sum(runSeeds(createWorkScheduler, [burst]), burst);
 		expect(refused).toBeGreaterThan(0);
 		expect(longestRefusalMs).toBeLessThan(burst.deadlineMs / 2);
 	});
 });
 
-describe('a region whose engines may not be sent to for the moment', () => {
-	// All engines of a region have just started and bear two requests a second, and the next turn is another
-	// entry's. A room that can't be compared looks like one that is no worse than another region's, and callers
-	// wait for a turn here while engines idle there.
-	it('is told to have an endless wait, and nothing that spoils a comparison', () => {
+describe('WorkScheduler with cold engines', () => {
+	// Guards against waiting for cold engines while another region has idle ones. All engines have just started and
+	// accept two requests per second, and the next turn belongs to another entry. A value that cannot be compared,
+	// such as NaN, would make this region look no worse than others.
+	it('reports an infinite wait and no prefill time while no request may be sent', () => {
 		const scheduler = new WorkScheduler(new SeededRandom(1), () => 2);
 		const target = createEngineTarget('engine-1', { slots: 64, cacheTokens: 300_000, entries: 2 });
 		const registered = { ...target.registered!, coldUntilMs: 5_000, coldRequestsPerSecond: 2, place: 1 };
--- a/src/entry/common/workScheduling/workPolicy.ts
+++ b/src/entry/common/workScheduling/workPolicy.ts
@@ -1,142 +1,143 @@
 /**
- * The figures of scheduling by work, each with its unit and ground. Speeds are first guesses that the answers
- * of targets correct; shares and bounds are what the modules named beside them decide by.
+ * Parameters of scheduling by estimated work, with their units and reasons. Speeds are initial values that
+ * observed answers correct. Shares and bounds are used by the other modules of this folder.
  */
 
-/** Figures of the estimate of a target's work. */
-export interface WorkEstimateFigures {
-	/** Prompt tokens that an engine reads in a millisecond; within a factor of two of engines in use. */
-	readonly tokensPerMs: number;
-	/** Tokens of a held part that one engine fetches from another in a millisecond. */
+/** Parameters of the load estimate of a target. */
+export interface WorkEstimateParameters {
+	/** Prompt tokens that an engine processes in a millisecond; within a factor of two for engines in use. */
+	readonly prefillTokensPerMs: number;
+	/** Tokens of a cached part that one engine fetches from another in a millisecond. */
 	readonly fetchedTokensPerMs: number;
-	/** First event of an idle engine beside the reading of the prompt: some steps of 6 ms and the way. */
-	readonly firstEventMs: number;
-	/** Run of a plain request before one was seen, in milliseconds. */
+	/** Time to the first event of an idle engine without prefill: some steps of 6 ms and the network round trip. */
+	readonly idleFirstEventMs: number;
+	/** Assumed run time of a plain request, in milliseconds. */
 	readonly plainRunMs: number;
-	/** Run of a stream, for the wait at an engine whose slots are full, in milliseconds. */
+	/** Run time of a streamed answer, in milliseconds; used for the wait at an engine without free slots. */
 	readonly streamRunMs: number;
-	/** Weight of one observation in a target's speed; ten or so answers change it. */
-	readonly speedWeight: number;
-	/** A target this many times as slow as is usual for the service is taken to be slow. */
-	readonly clearlySlow: number;
-	/** Bounds of a target's measured slowness relative to the guess. */
-	readonly leastSlowness: number;
-	readonly mostSlowness: number;
-	/** Time in which what others send to a target is averaged, in milliseconds: a few prompts' reading. */
-	readonly othersFadeMs: number;
-	/** Time in which a target's report of its load loses 63% of its weight: about one run of a request. */
-	readonly reportFadeMs: number;
+	/** Weight of one observation in the measured slowness of a target; some ten answers change it. */
+	readonly slownessUpdateWeight: number;
+	/** Ratio to the median slowness of the service above which a target is treated as slow. */
+	readonly slowTargetRatio: number;
+	/** Bounds of a single observation of slowness, as a ratio of observed to estimated time. */
+	readonly minSlowness: number;
+	readonly maxSlowness: number;
+	/** Time constant of the average of pending prefill, in milliseconds: the prefill of a few prompts. */
+	readonly pendingPrefillTimeConstantMs: number;
+	/** Time in which a load report loses 63% of its weight, in milliseconds: about the run time of one request. */
+	readonly reportTimeConstantMs: number;
 }
 
-/** Figures of the choice of a target. */
-export interface WorkChoiceFigures {
-	/** Shared parts below this do not bind a request to a target: reading them again takes some 10 ms. */
-	readonly leastSharedTokens: number;
+/** Parameters of the choice of a target. */
+export interface WorkChoiceParameters {
+	/** Smaller shared parts do not affect the choice of a target: processing them again takes some 10 ms. */
+	readonly minSharedTokens: number;
 	/**
-	 * What a further copy of a shared part costs, as a share of the time of reading it: it takes the memory of
-	 * another part, which is then read again in its turn.
+	 * Extra cost of another copy of a shared part, as a share of the time to process or fetch it: the copy evicts
+	 * another part, which must later be processed again.
 	 */
 	readonly copyCost: number;
 	/**
-	 * What a millisecond taken from an answer that runs at a target counts against one of the request's own
-	 * time to the first byte. Most answers bear some delay. On five replayed days 0 gave
-	 * 0.02 less of the worth than 0.3, 0.6 and 1 gave 0.01 less (one run a day).
+	 * Weight of a millisecond of delay to the answers running on a target, relative to a millisecond of the
+	 * request's own time to the first byte. Most answers tolerate some delay. Compared with 0.3, the total value of
+	 * answers was lower by 0.02 with 0, and by 0.01 with 0.6 and with 1.
 	 */
 	readonly delayCost: number;
-	/** Weight of a target's share of failed answers against its speed. */
+	/** Weight of the failure rate of a target: its cost is multiplied by 1 plus this weight times the rate. */
 	readonly failureCost: number;
-	/** Random part of a cost, so that entries that see the same do not all choose the same. */
+	/** Maximum random increase of a cost, as a share, so that entries with equal estimates choose different targets. */
 	readonly jitter: number;
 }
 
-/** Figures of what waits, and where. */
-export interface WorkQueueFigures {
+/** Parameters of the queue, and of the capacity of targets. */
+export interface WorkQueueParameters {
 	/**
-	 * Prompt reading that all entries together put before an engine, in milliseconds. What waits in the engine
-	 * can no longer be sent elsewhere or overtaken; what does not wait there leaves it idle for a round trip.
+	 * Maximum prefill work of all entries that may be pending at an engine, in milliseconds. Requests that wait in the
+	 * engine can no longer be reordered or sent elsewhere, but an engine without a backlog is idle for a round trip.
 	 */
-	readonly mostAheadMs: number;
-	/** The part of that up to which a request that is late already may start. */
-	readonly lateShare: number;
-	/** Requests beyond the slots of a plain target, as a share of these: they cover the way to and fro. */
-	readonly beyondSlots: number;
-	/** Slots that requests that are late already leave to others, as a share. */
-	readonly lateReserve: number;
-	/** The part of the time left that a request may wait in line; the rest is for its run and for errors. */
-	readonly waitShare: number;
-	/** Time between two checks of what waits, in milliseconds. */
-	readonly recheckMs: number;
-	/** Most requests that wait for one service at one entry; bounds memory. */
-	readonly mostWaiting: number;
+	readonly maxPrefillAheadMs: number;
+	/** Share of `maxPrefillAheadMs` up to which late requests may start. */
+	readonly latePrefillShare: number;
+	/** Requests sent beyond the slots of a plain target, as a share of the slots, to cover the network round trip. */
+	readonly slotOvercommitShare: number;
+	/** Share of the slots that late requests leave free for others. */
+	readonly lateSlotReserveShare: number;
+	/** Share of the time to the deadline that a request may wait in the queue; the rest is for its run and retries. */
+	readonly maxWaitShare: number;
+	/** Interval at which queued requests are checked for missed due times and deadlines, in milliseconds. */
+	readonly recheckIntervalMs: number;
+	/** Maximum number of queued requests of one service at one entry; bounds memory. */
+	readonly maxWaitingRequests: number;
 }
 
-/** Figures of repeated sends. */
-export interface WorkRetryFigures {
-	/** Sends beyond the first, as a share of the requests of a window. */
+/** Parameters of retries. */
+export interface WorkRetryParameters {
+	/** Maximum retries in a window, as a share of its requests. */
 	readonly ratio: number;
-	/** Sends beyond that which the fleet may make in a window. */
+	/** Additional retries that the whole fleet may send in a window. */
 	readonly slack: number;
 	readonly windowMs: number;
-	/** The part of the bound that entries use: each counts for itself, and they do not see the same. */
-	readonly usedShare: number;
-	/** First pause of a target that refused, or could not be reached, in milliseconds; doubles. */
-	readonly firstPauseMs: number;
-	readonly mostPauseMs: number;
-	/** Time left below which no further attempt is made, in milliseconds. */
-	readonly leastLeftMs: number;
+	/** Share of the budget that entries use; the rest is a margin, since each entry counts only its own requests. */
+	readonly budgetUseShare: number;
+	/** First pause of a target that refused, failed or could not be reached, in milliseconds; doubles each time. */
+	readonly initialPauseMs: number;
+	readonly maxPauseMs: number;
+	/** Minimum time to the deadline for another attempt, in milliseconds. */
+	readonly minRemainingMs: number;
 }
 
+/** All parameters of scheduling by estimated work. */
 export interface WorkPolicy {
-	readonly estimate: WorkEstimateFigures;
-	readonly choice: WorkChoiceFigures;
-	readonly queue: WorkQueueFigures;
-	readonly retry: WorkRetryFigures;
+	readonly estimate: WorkEstimateParameters;
+	readonly choice: WorkChoiceParameters;
+	readonly queue: WorkQueueParameters;
+	readonly retry: WorkRetryParameters;
 }
 
-/** The policy with a deployment's own bounds of repeated sends. */
+/** Creates the default policy with the retry limits of a deployment. */
 export function createWorkPolicy(
-	retries: Pick<WorkRetryFigures, 'ratio' | 'slack' | 'windowMs'>,
+	retries: Pick<WorkRetryParameters, 'ratio' | 'slack' | 'windowMs'>,
 ): WorkPolicy {
 	return { ...defaultWorkPolicy, retry: { ...defaultWorkPolicy.retry, ...retries } };
 }
 
 export const defaultWorkPolicy: WorkPolicy = {
 	estimate: {
-		tokensPerMs: 35,
+		prefillTokensPerMs: 35,
 		fetchedTokensPerMs: 180,
-		firstEventMs: 45,
+		idleFirstEventMs: 45,
 		plainRunMs: 80,
 		streamRunMs: 500,
-		speedWeight: 0.1,
-		clearlySlow: 1.6,
-		leastSlowness: 0.4,
-		mostSlowness: 12,
-		othersFadeMs: 400,
-		reportFadeMs: 300,
+		slownessUpdateWeight: 0.1,
+		slowTargetRatio: 1.6,
+		minSlowness: 0.4,
+		maxSlowness: 12,
+		pendingPrefillTimeConstantMs: 400,
+		reportTimeConstantMs: 300,
 	},
 	choice: {
-		leastSharedTokens: 256,
+		minSharedTokens: 256,
 		copyCost: 0.6,
 		delayCost: 0.3,
 		failureCost: 4,
 		jitter: 0.05,
 	},
 	queue: {
-		mostAheadMs: 400,
-		lateShare: 0.25,
-		beyondSlots: 0.34,
-		lateReserve: 0.25,
-		waitShare: 0.4,
-		recheckMs: 20,
-		mostWaiting: 2_000,
+		maxPrefillAheadMs: 400,
+		latePrefillShare: 0.25,
+		slotOvercommitShare: 0.34,
+		lateSlotReserveShare: 0.25,
+		maxWaitShare: 0.4,
+		recheckIntervalMs: 20,
+		maxWaitingRequests: 2_000,
 	},
 	retry: {
 		ratio: 0.2,
 		slack: 50,
 		windowMs: 10_000,
-		usedShare: 0.6,
-		firstPauseMs: 100,
-		mostPauseMs: 2_000,
-		leastLeftMs: 30,
+		budgetUseShare: 0.6,
+		initialPauseMs: 100,
+		maxPauseMs: 2_000,
+		minRemainingMs: 30,
 	},
 };
--- a/src/entry/common/workScheduling/workQueue.ts
+++ b/src/entry/common/workScheduling/workQueue.ts
@@ -1,93 +1,95 @@
 /**
- * The requests of one service that wait at this entry, in the order in which they are to be served.
+ * Queue of the requests of one service that wait at this entry (proxy process), in the order in which they are
+ * served.
  *
- * Load pattern: more work than can be in time, long prompts among short ones. First come, first served makes
- * every request late by the same amount once the line is as long as their aim, and none is worth its price.
- * Here the more urgent go first, and among equals the one whose aim is missed soonest; a request that can no
- * longer meet its aim steps back behind all that can, and is served when there is room to spare.
+ * The load it is designed for is more work than can be done in time, with long prompts among short ones. In order
+ * of arrival, every request would be late by the same amount once the queue is as long as the time until their due
+ * times, and no answer would be in time. Instead the more urgent requests go first and, among equally urgent ones,
+ * the one with the earliest due time. A request that can no longer meet its due time moves behind all requests
+ * that can, and is served with spare capacity.
  */
 
 import type { RequestId } from '../../../core/ids/common/ids';
 import type { SchedulableRequest } from '../scheduling/serviceScheduler';
 
-/** A request to wait, with its work at the target that would answer it soonest. */
+/** A request to be queued, with its work at the target that would answer it first. */
 export interface WorkItem {
 	readonly request: SchedulableRequest;
-	/** Time to its first byte if nothing else ran there, in milliseconds. */
-	readonly unloadedMs: number;
-	/** How long it keeps others waiting there, in milliseconds. */
+	/** Time to the first byte if that target were idle, in milliseconds. */
+	readonly idleFirstByteMs: number;
+	/** Time for which the request delays others on that target, in milliseconds. */
 	readonly workMs: number;
 }
 
-/** A waiting request. */
+/** A queued request. */
 export interface WaitingRequest extends WorkItem {
-	/** When it joined the line, first or again; monotonic milliseconds. */
-	readonly joinedMs: number;
-	/** Its aim can no longer be met. */
+	/** When the request was last added to the queue, in monotonic milliseconds. */
+	readonly enqueuedMs: number;
+	/** Whether the request can no longer meet its due time. */
 	isLate: boolean;
 }
 
-/** Keeps two lines, each in order. */
+/** Keeps requests that can meet their due time and late ones in two sorted lists. */
 export class WorkQueue {
-	private readonly timely = new WorkLine();
-	private readonly late = new WorkLine();
+	private readonly onTime = new SortedRequests();
+	private readonly late = new SortedRequests();
 
 	get size(): number {
-		return this.timely.items.length + this.late.items.length;
+		return this.onTime.items.length + this.late.items.length;
 	}
 
-	/** Those that can be in time first; a copy, so that it may be walked while requests leave. */
+	/** Returns the requests in queue order, as a copy so that requests may be removed during iteration. */
 	list(): readonly WaitingRequest[] {
-		return [...this.timely.items, ...this.late.items];
+		return [...this.onTime.items, ...this.late.items];
 	}
 
-	/** The request at a place in order, from 0, or undefined behind the last one. */
-	find(place: number): WaitingRequest | undefined {
-		return this.timely.items[place] ?? this.late.items[place - this.timely.items.length];
+	/** Returns the request at a zero-based index in queue order, or undefined past the end. */
+	find(index: number): WaitingRequest | undefined {
+		return this.onTime.items[index] ?? this.late.items[index - this.onTime.items.length];
 	}
 
 	add(item: WorkItem, nowMs: number): void {
-		const isLate = isAimMissed(item, nowMs);
-		(isLate ? this.late : this.timely).add({ ...item, joinedMs: nowMs, isLate });
+		const isLate = isDueTimeMissed(item, nowMs);
+		(isLate ? this.late : this.onTime).add({ ...item, enqueuedMs: nowMs, isLate });
 	}
 
 	remove(id: RequestId): boolean {
-		return this.timely.remove(id) || this.late.remove(id);
+		return this.onTime.remove(id) || this.late.remove(id);
 	}
 
-	/** Moves those back that can no longer meet their aim. */
+	/** Moves requests that can no longer meet their due time behind the others. */
 	markLate(nowMs: number): void {
-		for (const item of this.timely.items.filter(waiting => isAimMissed(waiting, nowMs))) {
-			this.timely.remove(item.request.id);
+		for (const item of this.onTime.items.filter(waiting => isDueTimeMissed(waiting, nowMs))) {
+			this.onTime.remove(item.request.id);
 			item.isLate = true;
 			this.late.add(item);
 		}
 	}
 
-	/** Work that is served before a request of an urgency, in milliseconds of one target. */
-	sumAhead(urgency: number, isLate: boolean): number {
-		return this.timely.sumUpTo(urgency) + (isLate ? this.late.sumUpTo(urgency) : 0);
+	/** Sums the work served before a request of the given urgency, in milliseconds of one target. */
+	sumWorkAheadMs(urgency: number, isLate: boolean): number {
+		return this.onTime.sumWorkUpTo(urgency) + (isLate ? this.late.sumWorkUpTo(urgency) : 0);
 	}
 }
 
-/** Whether a request would miss its aim even if it were sent now to an idle target. */
-export function isAimMissed({ request, unloadedMs }: WorkItem, nowMs: number): boolean {
-	return nowMs + unloadedMs > getDueMs(request);
+/** Whether a request would miss its due time even if it were sent to an idle target now. */
+export function isDueTimeMissed({ request, idleFirstByteMs }: WorkItem, nowMs: number): boolean {
+	return nowMs + idleFirstByteMs > getDueMs(request);
 }
 
-/** One line in order, with the sums of its work. */
-class WorkLine {
+/** Sorted list of requests, with the sum of their work for each urgency. */
+class SortedRequests {
 	readonly items: WaitingRequest[] = [];
-	private readonly workOfUrgencies = new Map<number, number>();
+	private readonly workByUrgency = new Map<number, number>();
 
 	add(item: WaitingRequest): void {
-		this.items.splice(findPlace(this.items, item), 0, item);
+		this.items.splice(findInsertIndex(this.items, item), 0, item);
 		this.addWork(item, 1);
 	}
 
 	remove(id: RequestId): boolean {
-		const place = this.items.findIndex(({ request }) => request.id === id);
-		const [item] = place < 0 ? [] : this.items.splice(place, 1);
+		const index = this.items.findIndex(({ request }) => request.id === id);
+		const [item] = index < 0 ? [] : this.items.splice(index, 1);
 		if (item === undefined) {
 			return false;
 		}
@@ -95,9 +97,9 @@
 		return true;
 	}
 
-	sumUpTo(urgency: number): number {
+	sumWorkUpTo(urgency: number): number {
 		let total = 0;
-		for (const [other, workMs] of this.workOfUrgencies) {
+		for (const [other, workMs] of this.workByUrgency) {
 			total += other <= urgency ? workMs : 0;
 		}
 		return total;
@@ -105,17 +107,17 @@
 
 	private addWork({ request, workMs }: WaitingRequest, sign: 1 | -1): void {
 		const urgency = getUrgency(request);
-		this.workOfUrgencies.set(urgency, (this.workOfUrgencies.get(urgency) ?? 0) + sign * workMs);
+		this.workByUrgency.set(urgency, (this.workByUrgency.get(urgency) ?? 0) + sign * workMs);
 	}
 }
 
-/** Later ones go behind equal ones. */
-function findPlace(line: readonly WaitingRequest[], item: WaitingRequest): number {
+/** Returns the index at which to insert a request: after all that go before it or rank equally. */
+function findInsertIndex(sorted: readonly WaitingRequest[], item: WaitingRequest): number {
 	let low = 0;
-	let high = line.length;
+	let high = sorted.length;
 	while (low < high) {
 		const middle = (low + high) >>> 1;
-		const other = line[middle];
+		const other = sorted[middle];
 		if (other !== undefined && isBefore(item, other)) {
 			high = middle;
 		} else {
@@ -133,12 +135,12 @@
 	return isLate ? left.deadlineMs < right.deadlineMs : getDueMs(left) < getDueMs(right);
 }
 
-/** When the request's aim is missed; its deadline where it has no aim. */
+/** Returns the time by which the first byte should arrive: the due time, or the deadline if there is none. */
 export function getDueMs({ work, deadlineMs }: SchedulableRequest): number {
 	return work?.dueMs ?? deadlineMs;
 }
 
-/** 0 is the most urgent. */
+/** Returns the urgency of a request; 0 is the most urgent. */
 export function getUrgency({ work }: SchedulableRequest): number {
 	return work?.urgency ?? 0;
 }
--- a/src/entry/common/workScheduling/workScheduler.ts
+++ b/src/entry/common/workScheduling/workScheduler.ts
@@ -1,11 +1,11 @@
 /**
- * Schedules the requests of one service by their work: prompts by the tokens that have to be read, plain
- * requests by slots. It puts the parts together; what each of them answers to stands at its head.
+ * Schedules the requests of one service by their estimated work: requests with prompts by the tokens that a target
+ * has to process, plain requests by slots.
  *
- * Load pattern that it is judged by: a region at several times its mean load, with long prompts among short
- * ones. What matters is how many answers begin within their aim, the most urgent first; a request that
- * cannot be answered by its deadline is refused when that is known, with a time to come back, and none is
- * refused while a target has room.
+ * The load it is designed for is a region at several times its mean load, with long prompts among short ones. The
+ * goal is to begin as many answers as possible by their due time, the most urgent first. A request that cannot be
+ * answered by its deadline is refused as soon as that is known, with a retry delay, and no request is refused
+ * while a target has capacity.
  */
 
 import type { IRandom } from '../../../base/common/random';
@@ -22,38 +22,39 @@
 	TargetRoom,
 } from '../scheduling/serviceScheduler';
 import { AttemptEnd, ScheduleDecisionKind } from '../scheduling/serviceScheduler';
-import { LineEstimates } from './queueEstimates';
-import { RetryAllowance } from './fleetRetryBudget';
-import type { WorkChoice } from './targetChooser';
+import { QueueEstimates } from './queueEstimates';
+import { FleetRetryBudget } from './fleetRetryBudget';
+import type { TargetChoice } from './targetChooser';
 import { WorkTargetChooser } from './targetChooser';
-import { TargetWork } from './targetLoadModel';
+import { TargetLoadModel } from './targetLoadModel';
 import type { WorkPolicy } from './workPolicy';
 import { defaultWorkPolicy } from './workPolicy';
 import type { WaitingRequest, WorkItem } from './workQueue';
-import { getUrgency, isAimMissed, WorkQueue } from './workQueue';
+import { getUrgency, isDueTimeMissed, WorkQueue } from './workQueue';
 
-interface HeldWork {
+/** A request that waits here or runs on a target. */
+interface TrackedRequest {
 	readonly request: SchedulableRequest;
-	readonly tried: TargetId[];
-	/** Sends that may have run. */
-	runs: number;
-	/** Some attempt may have run, so the caller is not told otherwise. */
+	readonly triedTargets: TargetId[];
+	/** Attempts that the target may have executed. */
+	possibleRuns: number;
+	/** Whether any attempt may have been executed; a refusal then reports an unknown outcome. */
 	mayHaveRun: boolean;
-	running: TargetWork | undefined;
+	runningOn: TargetLoadModel | undefined;
 	hasFirstByte: boolean;
-	lastFault: ErrorKind | undefined;
+	lastErrorKind: ErrorKind | undefined;
 }
 
-/** Sends that the target refused unrun beyond what the route allows to run. */
-const mostRefusedSends = 2;
+/** Attempts allowed beyond the maximum of the route, because targets may refuse attempts without executing them. */
+const maxExtraRefusedSends = 2;
 
 /**
- * Requests in a row that find no target before the rest of the line is left for the next time: what keeps
- * them waiting mostly keeps all waiting, and a line of a thousand would be walked at each answer.
+ * Maximum number of waiting requests without a target in one pass over the queue. What blocks these mostly blocks the
+ * others too, and without the limit every answer would scan a queue of up to thousands of requests.
  */
-const mostUnplaced = 8;
+const maxUnplacedRequests = 8;
 
-const faultsOfEnds: Readonly<Partial<Record<AttemptEnd, ErrorKind>>> = {
+const errorKindsOfEnds: Readonly<Partial<Record<AttemptEnd, ErrorKind>>> = {
 	[AttemptEnd.TargetRefused]: ErrorKind.TargetRefused,
 	[AttemptEnd.NotConnected]: ErrorKind.NoTarget,
 	[AttemptEnd.Failed]: ErrorKind.TargetFailed,
@@ -61,27 +62,27 @@
 	[AttemptEnd.Silent]: ErrorKind.TargetSilent,
 };
 
-/** Decides for one service. */
+/** Chooses when and where the requests of one service run. */
 export class WorkScheduler implements IServiceScheduler {
-	private readonly targets = new Map<TargetId, TargetWork>();
-	private listed: readonly TargetWork[] = [];
+	private readonly targets = new Map<TargetId, TargetLoadModel>();
+	private targetList: readonly TargetLoadModel[] = [];
 	private readonly queue = new WorkQueue();
-	private readonly held = new Map<RequestId, HeldWork>();
-	private readonly chooser: WorkTargetChooser;
-	private readonly retries: RetryAllowance;
-	private readonly estimates: LineEstimates;
-	private decided: ScheduleDecision[] = [];
-	private checkedMs = Number.NEGATIVE_INFINITY;
+	private readonly requests = new Map<RequestId, TrackedRequest>();
+	private readonly targetChooser: WorkTargetChooser;
+	private readonly retryBudget: FleetRetryBudget;
+	private readonly estimates: QueueEstimates;
+	private decisions: ScheduleDecision[] = [];
+	private lastCheckMs = Number.NEGATIVE_INFINITY;
 
 	constructor(
 		random: IRandom,
-		/** Entries of the fleet that share its bounds, this one included. */
+		/** Returns the number of entries (proxy processes) that share the fleet's retry budget, including this one. */
 		private readonly countEntries: () => number,
 		private readonly policy: WorkPolicy = defaultWorkPolicy,
 	) {
-		this.chooser = new WorkTargetChooser(policy.choice, policy.estimate, random);
-		this.retries = new RetryAllowance(policy.retry);
-		this.estimates = new LineEstimates(this.queue, policy);
+		this.targetChooser = new WorkTargetChooser(policy.choice, policy.estimate, random);
+		this.retryBudget = new FleetRetryBudget(policy.retry);
+		this.estimates = new QueueEstimates(this.queue, policy);
 	}
 
 	setTargets(targets: readonly SchedulableTarget[]): void {
@@ -94,94 +95,95 @@
 		for (const target of targets) {
 			const known = this.targets.get(target.id);
 			if (known === undefined) {
-				this.targets.set(target.id, new TargetWork(target, this.policy.estimate, this.policy.queue));
+				this.targets.set(target.id, new TargetLoadModel(target, this.policy.estimate, this.policy.queue));
 			} else {
 				known.setTarget(target);
 			}
 		}
-		this.listed = [...this.targets.values()];
-		this.estimates.setTargets(this.listed);
+		this.targetList = [...this.targets.values()];
+		this.estimates.setTargets(this.targetList);
 	}
 
 	submit(request: SchedulableRequest, nowMs: number): void {
-		this.retries.noteRequest(nowMs);
+		this.retryBudget.noteRequest(nowMs);
 		const item = this.estimates.createItem(request, nowMs);
-		const fault = this.findFault(item, nowMs);
-		if (fault !== undefined) {
-			this.refuse(request, fault, 'nothing was sent', false, nowMs);
+		const errorKind = this.findAdmissionError(item, nowMs);
+		if (errorKind !== undefined) {
+			this.refuse(request, errorKind, 'not sent to any target', false, nowMs);
 			return;
 		}
-		this.held.set(request.id, {
+		this.requests.set(request.id, {
 			request,
-			tried: [],
-			runs: 0,
+			triedTargets: [],
+			possibleRuns: 0,
 			mayHaveRun: false,
-			running: undefined,
+			runningOn: undefined,
 			hasFirstByte: false,
-			lastFault: undefined,
+			lastErrorKind: undefined,
 		});
 		this.queue.add(item, nowMs);
 	}
 
 	advance(nowMs: number): readonly ScheduleDecision[] {
-		if (nowMs - this.checkedMs >= this.policy.queue.recheckMs) {
-			this.checkedMs = nowMs;
-			this.compareTargets();
+		if (nowMs - this.lastCheckMs >= this.policy.queue.recheckIntervalMs) {
+			this.lastCheckMs = nowMs;
+			this.updateTypicalSlowness();
 			this.checkWaiting(nowMs);
 		}
 		this.startWaiting(nowMs);
-		const { decided } = this;
-		this.decided = [];
-		return decided;
+		const { decisions } = this;
+		this.decisions = [];
+		return decisions;
 	}
 
 	getNextDueMs(): number | undefined {
-		return this.queue.size > 0 ? this.checkedMs + this.policy.queue.recheckMs : undefined;
+		return this.queue.size > 0 ? this.lastCheckMs + this.policy.queue.recheckIntervalMs : undefined;
 	}
 
 	noteFirstByte(requestId: RequestId, nowMs: number): void {
-		const held = this.held.get(requestId);
-		if (held !== undefined) {
-			held.hasFirstByte = true;
-			held.running?.noteFirstByte(requestId, nowMs);
+		const tracked = this.requests.get(requestId);
+		if (tracked !== undefined) {
+			tracked.hasFirstByte = true;
+			tracked.runningOn?.noteFirstByte(requestId, nowMs);
 		}
 	}
 
 	noteEnd(requestId: RequestId, end: AttemptEnd, nowMs: number): boolean {
-		const held = this.held.get(requestId);
-		const target = held?.running;
-		if (held === undefined || target === undefined) {
+		const tracked = this.requests.get(requestId);
+		const target = tracked?.runningOn;
+		if (tracked === undefined || target === undefined) {
 			return false;
 		}
-		held.running = undefined;
+		tracked.runningOn = undefined;
 		target.noteEnd(requestId, end, this.policy.retry, nowMs);
-		const isUnrun = end === AttemptEnd.TargetRefused || end === AttemptEnd.NotConnected;
-		held.runs += isUnrun ? 0 : 1;
-		held.mayHaveRun ||= !isUnrun;
-		held.lastFault = faultsOfEnds[end];
-		held.tried.push(target.id);
-		if (!this.isRetryAllowed(held, end, nowMs)) {
-			this.held.delete(requestId);
+		const isNotRun = end === AttemptEnd.TargetRefused || end === AttemptEnd.NotConnected;
+		tracked.possibleRuns += isNotRun ? 0 : 1;
+		tracked.mayHaveRun ||= !isNotRun;
+		tracked.lastErrorKind = errorKindsOfEnds[end];
+		tracked.triedTargets.push(target.id);
+		if (!this.isRetryAllowed(tracked, end, nowMs)) {
+			this.requests.delete(requestId);
 			return false;
 		}
 		if (end !== AttemptEnd.NotConnected) {
-			this.retries.noteRepeat(nowMs);
+			this.retryBudget.noteRetry(nowMs);
 		}
-		this.queue.add(this.estimates.createItem(held.request, nowMs), nowMs);
+		this.queue.add(this.estimates.createItem(tracked.request, nowMs), nowMs);
 		return true;
 	}
 
 	isRetriable(requestId: RequestId, nowMs: number): boolean {
-		const held = this.held.get(requestId);
-		if (held === undefined) {
+		const tracked = this.requests.get(requestId);
+		if (tracked === undefined) {
 			return false;
 		}
-		const hasRoom = this.listed.some(
+		const hasCapacity = this.targetList.some(
 			target =>
-				target.isOpen(nowMs) && target.hasRoom({ isLate: false, urgency: getUrgency(held.request) }, nowMs),
+				target.isAvailable(nowMs) &&
+				target.hasCapacity({ isLate: false, urgency: getUrgency(tracked.request) }, nowMs),
 		);
-		const after = { ...held, runs: held.runs + 1, mayHaveRun: true };
-		return hasRoom && this.isRetryAllowed(after, AttemptEnd.Erred, nowMs);
+		const after = { ...tracked, possibleRuns: tracked.possibleRuns + 1, mayHaveRun: true };
+		return hasCapacity && this.isRetryAllowed(after, AttemptEnd.Erred, nowMs);
 	}
 
 	noteLoad(target: TargetId, load: ReportedLoad, nowMs: number): void {
@@ -189,131 +191,148 @@
 	}
 
 	cancel(requestId: RequestId): void {
-		const held = this.held.get(requestId);
-		if (held === undefined || held.running !== undefined) {
+		const tracked = this.requests.get(requestId);
+		if (tracked === undefined || tracked.runningOn !== undefined) {
 			return;
 		}
-		this.held.delete(requestId);
+		this.requests.delete(requestId);
 		this.queue.remove(requestId);
 	}
 
 	measureTarget(target: TargetId): TargetRoom {
 		const known = this.targets.get(target);
-		return { running: known?.running ?? 0, limit: known?.target.slots ?? 0 };
+		return { running: known?.running ?? 0, limit: known?.description.slots ?? 0 };
 	}
 
-	/** With a request, the wait until its first byte; without, the wait of any request before its own work. */
+	/** The wait is until the first byte if a request is given, otherwise the queueing time of an arriving request. */
 	measureRoom(nowMs: number, request?: SchedulableRequest): ServiceRoom {
-		const open = this.listed.filter(target => target.isOpen(nowMs) && target.isColdOpen(nowMs));
-		const waits = open.map(target =>
-			request === undefined ? target.estimateWaitMs(nowMs) : target.estimateFirstMs(request, nowMs),
+		const available = this.targetList.filter(
+			target => target.isAvailable(nowMs) && target.isColdSendAllowed(nowMs),
 		);
-		const unloaded = request === undefined ? [] : open.map(target => target.computeUnloadedMs(request));
-		const lineMs = this.estimates.estimateLineMs(open, request);
+		const waits = available.map(target =>
+			request === undefined ? target.estimateWaitMs(nowMs) : target.estimateFirstByteMs(request, nowMs),
+		);
+		const idleFirstByteMs =
+			request === undefined ? [] : available.map(target => target.computeIdleFirstByteMs(request));
+		const queuedWorkMs = this.estimates.estimateQueuedWorkMs(available, request);
 		return {
-			waitMs: Math.min(...waits) + lineMs,
-			freeSlots: open.reduce((sum, target) => sum + target.countFree(nowMs) * target.target.share, 0),
-			running: this.listed.reduce((sum, target) => sum + target.running, 0),
+			waitMs: Math.min(...waits) + queuedWorkMs,
+			freeSlots: available.reduce(
+				(sum, target) => sum + target.countFreeSlots(nowMs) * target.description.share,
+				0,
+			),
+			running: this.targetList.reduce((sum, target) => sum + target.running, 0),
 			queued: this.queue.size,
-			...(unloaded.length > 0 ? { unloadedMs: Math.max(...unloaded) } : {}),
-			holdsSharedPart: request !== undefined && this.hasSharedPart(open, request),
-			runningPerTarget: this.computeRunningPerTarget(open, nowMs),
-			...(request?.work?.prompt === undefined || unloaded.length === 0
+			...(idleFirstByteMs.length > 0 ? { unloadedMs: Math.max(...idleFirstByteMs) } : {}),
+			holdsSharedPart: request !== undefined && this.hasSharedPart(available, request),
+			runningPerTarget: this.computeRunningPerTarget(available, nowMs),
+			...(request?.work?.prompt === undefined || idleFirstByteMs.length === 0
 				? {}
-				: { readingMs: Math.min(...unloaded) - this.policy.estimate.firstEventMs }),
+				: { readingMs: Math.min(...idleFirstByteMs) - this.policy.estimate.idleFirstEventMs }),
 		};
 	}
 
-	private computeRunningPerTarget(open: readonly TargetWork[], nowMs: number): number {
-		const running = open.reduce((sum, target) => sum + target.estimateRunning(nowMs), 0);
-		return running / Math.max(1, open.length);
+	private computeRunningPerTarget(available: readonly TargetLoadModel[], nowMs: number): number {
+		const running = available.reduce((sum, target) => sum + target.estimateRunningRequests(nowMs), 0);
+		return running / Math.max(1, available.length);
 	}
 
-	/** Whether a target here is believed to hold the request's shared part, if it has one. */
-	private hasSharedPart(open: readonly TargetWork[], { work }: SchedulableRequest): boolean {
-		const shared = work?.prompt && findSharedPart(work.prompt, this.policy.choice.leastSharedTokens);
-		return shared !== undefined && open.some(target => target.hasPart(shared.id));
+	/** Whether the prefix cache of an available target is estimated to contain the request's shared prompt part. */
+	private hasSharedPart(available: readonly TargetLoadModel[], { work }: SchedulableRequest): boolean {
+		const shared = work?.prompt && findSharedPart(work.prompt, this.policy.choice.minSharedTokens);
+		return shared !== undefined && available.some(target => target.hasPart(shared.id));
 	}
 
-	/** Why a request is not let in, or undefined. */
-	private findFault(item: WorkItem, nowMs: number): ErrorKind | undefined {
-		if (!this.isServable()) {
+	/** Returns the error with which a new request is refused, or undefined if it is accepted. */
+	private findAdmissionError(item: WorkItem, nowMs: number): ErrorKind | undefined {
+		if (!this.hasUsableTarget()) {
 			return ErrorKind.NoTarget;
 		}
-		if (this.queue.size >= this.policy.queue.mostWaiting) {
+		if (this.queue.size >= this.policy.queue.maxWaitingRequests) {
 			return ErrorKind.Overloaded;
 		}
 		const leftMs = item.request.deadlineMs - nowMs;
-		const waitMs = this.estimates.estimateWaitMs(item.request, isAimMissed(item, nowMs), nowMs);
-		return waitMs > leftMs * this.policy.queue.waitShare ? ErrorKind.Overloaded : undefined;
+		const waitMs = this.estimates.estimateWaitMs(item.request, isDueTimeMissed(item, nowMs), nowMs);
+		return waitMs > leftMs * this.policy.queue.maxWaitShare ? ErrorKind.Overloaded : undefined;
 	}
 
-	private isServable(): boolean {
-		return this.listed.some(({ target }) => !target.isLeaving);
+	private hasUsableTarget(): boolean {
+		return this.targetList.some(({ description }) => !description.isLeaving);
 	}
 
-	private compareTargets(): void {
-		const measured = this.listed.map(target => target.ownSlowness).sort((left, right) => left - right);
+	private updateTypicalSlowness(): void {
+		const measured = this.targetList.map(target => target.ownSlowness).sort((left, right) => left - right);
 		const typical = measured[Math.floor(measured.length / 2)] ?? 1;
-		for (const target of this.listed) {
+		for (const target of this.targetList) {
 			target.setTypicalSlowness(typical);
 		}
 	}
 
-	/** Moves late ones back, and refuses those whose deadline is out of reach. */
+	/** Moves late requests behind the others and refuses requests that cannot be answered by their deadline. */
 	private checkWaiting(nowMs: number): void {
 		this.queue.markLate(nowMs);
-		const isServable = this.isServable();
-		for (const { request, unloadedMs, joinedMs } of this.queue.list()) {
-			const longestWaitMs = (request.deadlineMs - joinedMs) * this.policy.queue.waitShare;
-			const hasWaitedEnough = nowMs - joinedMs > longestWaitMs;
-			if (!isServable || hasWaitedEnough || nowMs + unloadedMs > request.deadlineMs) {
+		const hasUsableTarget = this.hasUsableTarget();
+		for (const { request, idleFirstByteMs, enqueuedMs } of this.queue.list()) {
+			const maxWaitMs = (request.deadlineMs - enqueuedMs) * this.policy.queue.maxWaitShare;
+			const hasWaitedEnough = nowMs - enqueuedMs > maxWaitMs;
+			if (!hasUsableTarget || hasWaitedEnough || nowMs + idleFirstByteMs > request.deadlineMs) {
 				this.refuseWaiting(request, nowMs);
 			}
 		}
 	}
 
 	private refuseWaiting(request: SchedulableRequest, nowMs: number): void {
-		const held = this.held.get(request.id);
+		const tracked = this.requests.get(request.id);
 		this.queue.remove(request.id);
-		this.held.delete(request.id);
-		const kind = held?.lastFault ?? ErrorKind.DeadlineUnreachable;
-		this.refuse(request, kind, 'no room in time', held?.mayHaveRun === true, nowMs);
+		this.requests.delete(request.id);
+		const kind = tracked?.lastErrorKind ?? ErrorKind.DeadlineUnreachable;
+		this.refuse(request, kind, 'no target had capacity in time', tracked?.mayHaveRun === true, nowMs);
 	}
 
 	private startWaiting(nowMs: number): void {
 		let unplaced = 0;
-		while (unplaced < mostUnplaced) {
+		while (unplaced < maxUnplacedRequests) {
 			const item = this.queue.find(unplaced);
-			const held = item && this.held.get(item.request.id);
-			if (item === undefined || held === undefined) {
+			const tracked = item && this.requests.get(item.request.id);
+			if (item === undefined || tracked === undefined) {
 				return;
 			}
-			const choice = this.chooseFor(held, item, nowMs);
+			const choice = this.chooseTarget(tracked, item, nowMs);
 			if (choice === undefined) {
 				unplaced++;
 			} else {
-				this.start(held, item, choice, nowMs);
+				this.start(tracked, item, choice, nowMs);
 			}
 		}
 	}
 
-	/** Another target than those that were tried, or one of these where there is no other. */
-	private chooseFor(held: HeldWork, { isLate }: WaitingRequest, nowMs: number): WorkChoice | undefined {
-		const { request, tried } = held;
-		const isKeptApart = request.isKeptApart?.() === true;
-		const isOtherLeft = this.listed.some(({ id, target }) => !target.isLeaving && !tried.includes(id));
-		const question = { request, tried: isOtherLeft ? tried : [], isLate, isKeptApart };
-		return this.chooser.choose(this.listed, question, nowMs);
+	/** Excludes targets that were already tried, unless no other target remains. */
+	private chooseTarget(
+		tracked: TrackedRequest,
+		{ isLate }: WaitingRequest,
+		nowMs: number,
+	): TargetChoice | undefined {
+		const { request, triedTargets } = tracked;
+		const isIsolated = request.isKeptApart?.() === true;
+		const hasUntriedTarget = this.targetList.some(
+			({ id, description }) => !description.isLeaving && !triedTargets.includes(id),
+		);
+		const query = { request, triedTargets: hasUntriedTarget ? triedTargets : [], isLate, isIsolated };
+		return this.targetChooser.choose(this.targetList, query, nowMs);
 	}
 
-	private start(held: HeldWork, { isLate }: WaitingRequest, choice: WorkChoice, nowMs: number): void {
-		const { request } = held;
+	private start(
+		tracked: TrackedRequest,
+		{ isLate }: WaitingRequest,
+		choice: TargetChoice,
+		nowMs: number,
+	): void {
+		const { request } = tracked;
 		this.queue.remove(request.id);
-		held.running = choice.target;
-		const isKeptApart = request.isKeptApart?.() === true;
-		choice.target.noteStart(request, isKeptApart, choice.fetchedTokens, nowMs);
-		this.decided.push({
+		tracked.runningOn = choice.target;
+		const isIsolated = request.isKeptApart?.() === true;
+		choice.target.noteStart(request, isIsolated, choice.fetchedTokens, nowMs);
+		this.decisions.push({
 			kind: ScheduleDecisionKind.Start,
 			requestId: request.id,
 			target: choice.target.id,
@@ -323,28 +342,30 @@
 		});
 	}
 
-	private isRetryAllowed(held: HeldWork, end: AttemptEnd, nowMs: number): boolean {
-		const { request } = held;
+	private isRetryAllowed(tracked: TrackedRequest, end: AttemptEnd, nowMs: number): boolean {
+		const { request } = tracked;
 		if (end === AttemptEnd.Answered || end === AttemptEnd.Cancelled) {
 			return false;
 		}
-		const mostAttempts = request.work?.mostAttempts ?? 1;
-		const isRunnable = held.mayHaveRun ? request.isRepeatable && held.runs < mostAttempts : true;
-		const isBegunElsewhere = held.hasFirstByte && request.work?.isResumable !== true;
-		const isSentTooOften = held.tried.length >= mostAttempts + mostRefusedSends;
+		const maxAttempts = request.work?.mostAttempts ?? 1;
+		const isRepeatAllowed = tracked.mayHaveRun
+			? request.isRepeatable && tracked.possibleRuns < maxAttempts
+			: true;
+		const isPartlyAnswered = tracked.hasFirstByte && request.work?.isResumable !== true;
+		const isSentTooOften = tracked.triedTargets.length >= maxAttempts + maxExtraRefusedSends;
 		const leftMs = request.deadlineMs - nowMs;
 		return (
-			isRunnable &&
-			!isBegunElsewhere &&
+			isRepeatAllowed &&
+			!isPartlyAnswered &&
 			!isSentTooOften &&
-			leftMs > this.policy.retry.leastLeftMs &&
-			(end === AttemptEnd.NotConnected || this.isBudgetOpen(nowMs))
+			leftMs > this.policy.retry.minRemainingMs &&
+			(end === AttemptEnd.NotConnected || this.isRetryBudgetAvailable(nowMs))
 		);
 	}
 
-	private isBudgetOpen(nowMs: number): boolean {
-		this.retries.setEntries(this.countEntries());
-		return this.retries.isOpen(nowMs);
+	private isRetryBudgetAvailable(nowMs: number): boolean {
+		this.retryBudget.setEntryCount(this.countEntries());
+		return this.retryBudget.isRetryAllowed(nowMs);
 	}
 
 	private refuse(
@@ -354,8 +375,8 @@
 		mayHaveRun: boolean,
 		nowMs: number,
 	): void {
-		const retryAfterMs = this.estimates.planReturn(request, nowMs);
-		this.decided.push({
+		const retryAfterMs = this.estimates.computeRetryAfterMs(request, nowMs);
+		this.decisions.push({
 			kind: ScheduleDecisionKind.Refuse,
 			requestId: request.id,
 			error: createRequestError(kind, detail, { retryAfterMs, isOutcomeUnknown: mayHaveRun }),
--- a/src/entry/node/requests/routerSurroundings.ts
+++ b/src/entry/node/requests/routerSurroundings.ts
@@ -87,7 +87,7 @@
 
 	findOwnerRegion({ call }: RequestRun): OwnerRegion | undefined {
 		const prompt = call.head.routed?.prompt;
-		const shared = prompt && findSharedPart(prompt, defaultWorkPolicy.choice.leastSharedTokens);
+		const shared = prompt && findSharedPart(prompt, defaultWorkPolicy.choice.minSharedTokens);
 		if (shared === undefined) {
 			return undefined;
 		}
