--- a/src/entry/common/sendAway/firstByteSendAwayPolicy.ts
+++ b/src/entry/common/sendAway/firstByteSendAwayPolicy.ts
@@ -58,7 +58,7 @@
 	defaultWorkMs: 100,
 	pendingWorkShare: 0.3,
 	copyCostShare: defaultWorkPolicy.choice.copyCost,
-	promptTokensPerMs: defaultWorkPolicy.estimate.tokensPerMs,
+	promptTokensPerMs: defaultWorkPolicy.estimate.prefillTokensPerMs,
 	delayWeight: defaultWorkPolicy.choice.delayCost,
 	unreachablePauseMs: 2_000,
 	maxJitterShare: 0.1,
@@ -199,7 +199,7 @@
 	}
 
 	private findSharedPromptPart({ work }: SchedulableRequest): PromptPart | undefined {
-		return work?.prompt && findSharedPart(work.prompt, defaultWorkPolicy.choice.leastSharedTokens);
+		return work?.prompt && findSharedPart(work.prompt, defaultWorkPolicy.choice.minSharedTokens);
 	}
 
 	private recordSent(context: SendAwayContext, offer: RemoteOffer, nowMs: number): void {
--- /dev/null
+++ b/src/entry/common/workScheduling/targetLoadModel.ts
@@ -0,0 +1,353 @@
+/**
+ * Models the load of one target as this entry (proxy process) estimates it, to predict how long a request sent now
+ * would wait for its first byte.
+ *
+ * An inference engine processes prompts (prefill) one after the other, interleaved with the generation of running
+ * answers, so a prompt waits for the prompts before it. Load reports arrive too late to show that backlog. It is
+ * estimated from the prompts that were sent to the engine and whose answers have not begun.
+ *
+ * A plain target runs as many requests as it has slots. Further requests wait until a slot becomes free.
+ *
+ * The observed times of each target are compared with the estimate, and their ratio corrects later estimates. An
+ * engine that becomes slow is recognised after a few answers, and then avoided as soon as another target would
+ * answer sooner, whether or not that target has the prompt cached.
+ */
+
+import type { RequestId, TargetId } from '../../../core/ids/common/ids';
+import type { PromptShape } from '../prompts/promptShape';
+import { computeTextHash } from '../scheduling/prefixRanking';
+import type { ReportedLoad, SchedulableRequest, SchedulableTarget } from '../scheduling/serviceScheduler';
+import { AttemptEnd } from '../scheduling/serviceScheduler';
+import type { ColdTargetTurns } from './coldTargetRateLimiter';
+import { ColdTargetRateLimiter } from './coldTargetRateLimiter';
+import { PrefixCacheModel } from './prefixCacheModel';
+import { PendingPrefill } from './pendingPrefill';
+import type { WorkEstimateParameters, WorkQueueParameters, WorkRetryParameters } from './workPolicy';
+import { getUrgency } from './workQueue';
+
+/** A running attempt that this entry sent to the target. */
+export interface RunningAttempt {
+	readonly requestId: RequestId;
+	readonly startedMs: number;
+	/** Estimated prefill time in milliseconds; 0 for a plain request. */
+	readonly prefillMs: number;
+	/** Time to the first byte as estimated when the attempt was sent, without the slowness of the target. */
+	readonly expectedFirstByteMs: number;
+	readonly isIsolated: boolean;
+	readonly urgency: number;
+	hasFirstByte: boolean;
+}
+
+/** A request for which capacity is checked. */
+export interface CapacityQuery {
+	readonly isLate: boolean;
+	/** 0 is the most urgent. */
+	readonly urgency: number;
+}
+
+/** Weight of one answer in the failure rate: some ten answers reveal a target that fails part of its requests. */
+const failureUpdateWeight = 0.1;
+
+/** Load, cache contents, speed and failures of one target, as estimated by this entry. */
+export class TargetLoadModel {
+	readonly id: TargetId;
+	readonly idHash: number;
+	private readonly attempts = new Map<RequestId, RunningAttempt>();
+	private readonly coldRateLimiter = new ColdTargetRateLimiter();
+	private readonly pendingPrefill: PendingPrefill;
+	private prefixCache: PrefixCacheModel;
+	private measuredSlowness = 1;
+	private typicalSlowness = 1;
+	private averageFailures = 0;
+	private reportedOtherRequests = 0;
+	private reportTimeMs = Number.NEGATIVE_INFINITY;
+	private pausedUntilMs = 0;
+	private consecutivePauses = 0;
+
+	constructor(
+		private current: SchedulableTarget,
+		private readonly estimate: WorkEstimateParameters,
+		private readonly queueParameters: WorkQueueParameters,
+	) {
+		this.id = current.id;
+		this.idHash = computeTextHash(current.id);
+		this.prefixCache = new PrefixCacheModel(current.registered?.cacheTokens ?? 0);
+		this.pendingPrefill = new PendingPrefill(estimate.pendingPrefillTimeConstantMs);
+	}
+
+	get description(): SchedulableTarget {
+		return this.current;
+	}
+
+	get running(): number {
+		return this.attempts.size;
+	}
+
+	/** Whether the target is an inference engine with a prefix cache, not a plain target. */
+	get isEngine(): boolean {
+		return (this.current.registered?.cacheTokens ?? 0) > 0;
+	}
+
+	/** Moving average of the share of failed answers. */
+	get failureRate(): number {
+		return this.averageFailures;
+	}
+
+	/** Moving average of the observed time divided by the estimated time. */
+	get ownSlowness(): number {
+		return this.measuredSlowness;
+	}
+
+	/** Sets the median slowness of the service's targets, which applies to this target unless it is clearly slower. */
+	setTypicalSlowness(typical: number): void {
+		this.typicalSlowness = typical;
+	}
+
+	/**
+	 * The mean of a few answers varies by a third in both directions. Using it directly would move requests from the
+	 * target that caches their prompt to one that does not.
+	 */
+	private get slowness(): number {
+		const ratio = this.measuredSlowness / this.typicalSlowness;
+		return ratio > this.estimate.slowTargetRatio ? this.measuredSlowness : this.typicalSlowness;
+	}
+
+	/** Updates the description of the target. After a restart the cache is empty and earlier measurements are void. */
+	setTarget(target: SchedulableTarget): void {
+		const hasRestarted = target.registered?.generation !== this.current.registered?.generation;
+		this.current = target;
+		if (hasRestarted) {
+			this.prefixCache = new PrefixCacheModel(target.registered?.cacheTokens ?? 0);
+			this.measuredSlowness = 1;
+			this.averageFailures = 0;
+			this.consecutivePauses = 0;
+			this.pausedUntilMs = 0;
+		}
+	}
+
+	/** Whether the target accepts requests: it is not leaving, paused after a failure, or past its announced end. */
+	isAvailable(nowMs: number): boolean {
+		const { isLeaving, registered } = this.current;
+		return !isLeaving && nowMs >= this.pausedUntilMs && nowMs < (registered?.endsMs ?? Infinity);
+	}
+
+	isCold(nowMs: number): boolean {
+		return nowMs < (this.current.registered?.coldUntilMs ?? 0);
+	}
+
+	private get coldTurns(): ColdTargetTurns {
+		const {
+			coldUntilMs = 0,
+			coldRequestsPerSecond = Infinity,
+			entries = 1,
+			place = 0,
+		} = this.current.registered ?? {};
+		return { coldUntilMs, requestsPerSecond: coldRequestsPerSecond, entryCount: entries, entryIndex: place };
+	}
+
+	/** Whether a request may be sent now under the rate limit for targets that have just started. */
+	isColdSendAllowed(nowMs: number): boolean {
+		return !this.isCold(nowMs) || this.coldRateLimiter.isSendAllowed(this.coldTurns, nowMs);
+	}
+
+	/** Returns when the current pause and rate limit end, in monotonic milliseconds. */
+	getNextAvailableMs(nowMs: number): number {
+		return Math.max(
+			this.pausedUntilMs,
+			this.isCold(nowMs) ? this.coldRateLimiter.getNextSendMs(this.coldTurns, nowMs) : 0,
+		);
+	}
+
+	hasIsolatedRequest(): boolean {
+		return [...this.attempts.values()].some(attempt => attempt.isIsolated);
+	}
+
+	hasPart(id: string): boolean {
+		return this.prefixCache.hasPart(id);
+	}
+
+	/** Whether the target has capacity for another request. Late requests leave part of the capacity to others. */
+	hasCapacity({ isLate, urgency }: CapacityQuery, nowMs: number): boolean {
+		const { maxPrefillAheadMs, latePrefillShare, slotOvercommitShare, lateSlotReserveShare } =
+			this.queueParameters;
+		const { slots } = this.current;
+		const inUse = this.estimateRunningRequests(nowMs);
+		if (!this.isEngine) {
+			return inUse + 1 <= slots * (isLate ? 1 - lateSlotReserveShare : 1 + slotOvercommitShare);
+		}
+		const share = isLate ? latePrefillShare : 1;
+		const aheadMs = this.estimateAheadMs(urgency, nowMs) * this.slowness;
+		return inUse < slots * (isLate ? 1 - lateSlotReserveShare : 1) && aheadMs <= maxPrefillAheadMs * share;
+	}
+
+	/** Estimates the number of requests of all entries that run on the target. */
+	estimateRunningRequests(nowMs: number): number {
+		return this.attempts.size + this.estimateOtherRequests(nowMs);
+	}
+
+	/**
+	 * Estimates the delay that the request adds to the answers running on the target, in milliseconds summed over these
+	 * answers. During its prefill each of them gets one token per chunk of the prompt instead of one per step.
+	 */
+	estimateAddedDelayMs(request: SchedulableRequest, nowMs: number, fetchedTokens = 0): number {
+		return this.estimatePrefillMs(request, fetchedTokens) * this.estimateRunningRequests(nowMs);
+	}
+
+	/** Estimates the prefill time of the request in milliseconds; 0 for a plain request. */
+	estimatePrefillMs({ work }: SchedulableRequest, fetchedTokens = 0): number {
+		return work?.prompt === undefined ? 0 : this.computePrefillMs(work.prompt, fetchedTokens);
+	}
+
+	/** Estimates the number of free slots. */
+	countFreeSlots(nowMs: number): number {
+		return Math.max(0, this.current.slots - this.attempts.size - this.estimateOtherRequests(nowMs));
+	}
+
+	/**
+	 * Estimates the time to the first byte in milliseconds if the request were sent now and `fetchedTokens` of its
+	 * prompt were fetched from another target.
+	 */
+	estimateFirstByteMs(request: SchedulableRequest, nowMs: number, fetchedTokens = 0): number {
+		const waitMs = this.estimateWaitMs(nowMs, getUrgency(request));
+		return (waitMs + this.computeIdleFirstByteMs(request, fetchedTokens)) * this.slowness;
+	}
+
+	/**
+	 * Estimates the time in milliseconds that a request sent now would wait at the target before its processing begins.
+	 * Without an urgency, the request is taken to be the least urgent.
+	 */
+	estimateWaitMs(nowMs: number, urgency = Number.POSITIVE_INFINITY): number {
+		if (this.isEngine) {
+			const excess = Math.max(0, this.estimateRunningRequests(nowMs) + 1 - this.current.slots);
+			return this.estimateAheadMs(urgency, nowMs) + (excess * this.estimate.streamRunMs) / this.current.slots;
+		}
+		const inUse = this.estimateRunningRequests(nowMs);
+		const excess = Math.max(0, inUse + 1 - this.current.slots);
+		return (excess * this.estimate.plainRunMs) / this.current.slots;
+	}
+
+	/** Estimates the time to the first byte if the target were idle, without its slowness. */
+	computeIdleFirstByteMs({ work }: SchedulableRequest, fetchedTokens = 0): number {
+		if (work?.prompt === undefined) {
+			return this.estimate.plainRunMs;
+		}
+		return this.estimate.idleFirstEventMs + this.computePrefillMs(work.prompt, fetchedTokens);
+	}
+
+	noteStart(request: SchedulableRequest, isIsolated: boolean, fetchedTokens: number, nowMs: number): void {
+		const prompt = request.work?.prompt;
+		const prefillMs = prompt === undefined ? 0 : this.computePrefillMs(prompt, fetchedTokens);
+		const urgency = getUrgency(request);
+		const expectedFirstByteMs =
+			this.estimateWaitMs(nowMs, urgency) + this.computeIdleFirstByteMs(request, fetchedTokens);
+		this.attempts.set(request.id, {
+			requestId: request.id,
+			startedMs: nowMs,
+			prefillMs,
+			expectedFirstByteMs,
+			isIsolated,
+			urgency,
+			hasFirstByte: false,
+		});
+		this.pendingPrefill.noteSent(urgency, prefillMs, nowMs);
+		if (prompt !== undefined) {
+			this.prefixCache.noteSent(prompt);
+		}
+		if (this.isCold(nowMs)) {
+			this.coldRateLimiter.noteSent(this.coldTurns, nowMs);
+		}
+	}
+
+	noteFirstByte(requestId: RequestId, nowMs: number): void {
+		const attempt = this.attempts.get(requestId);
+		if (attempt === undefined || attempt.hasFirstByte) {
+			return;
+		}
+		attempt.hasFirstByte = true;
+		this.consecutivePauses = 0;
+		if (this.isEngine) {
+			this.updateSlowness((nowMs - attempt.startedMs) / Math.max(1, attempt.expectedFirstByteMs));
+		}
+		this.pendingPrefill.noteCompleted(attempt.urgency, attempt.prefillMs, nowMs);
+	}
+
+	/** Records the end of an attempt. The target is paused if it refused, failed, was silent or could not be reached. */
+	noteEnd(requestId: RequestId, end: AttemptEnd, retry: WorkRetryParameters, nowMs: number): void {
+		const attempt = this.attempts.get(requestId);
+		this.attempts.delete(requestId);
+		if (attempt?.hasFirstByte === false) {
+			this.pendingPrefill.noteCompleted(attempt.urgency, attempt.prefillMs, nowMs);
+		}
+		switch (end) {
+			case AttemptEnd.Answered:
+				this.noteAnswered(attempt, nowMs);
+				return;
+			case AttemptEnd.Cancelled:
+				return;
+			case AttemptEnd.Erred:
+				this.noteFailure();
+				return;
+			case AttemptEnd.TargetRefused:
+				this.pause(retry, nowMs);
+				return;
+			case AttemptEnd.Failed:
+			case AttemptEnd.Silent:
+			case AttemptEnd.NotConnected:
+				this.noteFailure();
+				this.pause(retry, nowMs);
+		}
+	}
+
+	noteLoad(load: ReportedLoad, nowMs: number): void {
+		this.reportedOtherRequests = Math.max(0, load.running + load.waiting - this.attempts.size);
+		this.reportTimeMs = nowMs - load.ageMs;
+	}
+
+	private noteAnswered(attempt: RunningAttempt | undefined, nowMs: number): void {
+		this.averageFailures -= this.averageFailures * failureUpdateWeight;
+		if (attempt !== undefined && !this.isEngine) {
+			this.updateSlowness((nowMs - attempt.startedMs) / Math.max(1, attempt.expectedFirstByteMs));
+		}
+	}
+
+	private noteFailure(): void {
+		this.averageFailures += (1 - this.averageFailures) * failureUpdateWeight;
+	}
+
+	private pause({ initialPauseMs, maxPauseMs }: WorkRetryParameters, nowMs: number): void {
+		this.pausedUntilMs = nowMs + Math.min(maxPauseMs, initialPauseMs * 2 ** this.consecutivePauses);
+		this.consecutivePauses++;
+	}
+
+	/**
+	 * Estimates the number of requests that other entries run on the target. The last load report loses weight with its
+	 * age, in favour of the assumption that each other entry runs as many requests as this one.
+	 */
+	private estimateOtherRequests(nowMs: number): number {
+		const { share } = this.current;
+		const assumedOthers = this.attempts.size * (1 / share - 1);
+		const reportWeight = Math.exp(
+			-Math.max(0, nowMs - this.reportTimeMs) / this.estimate.reportTimeConstantMs,
+		);
+		return assumedOthers + (this.reportedOtherRequests - assumedOthers) * reportWeight;
+	}
+
+	/** Estimates the prefill work of all entries ahead of a new prompt, in milliseconds at the assumed speed. */
+	private estimateAheadMs(urgency: number, nowMs: number): number {
+		const others = 1 / this.current.share - 1;
+		return this.pendingPrefill.sumMs(urgency) + others * this.pendingPrefill.computeMeanMs(urgency, nowMs);
+	}
+
+	private computePrefillMs(prompt: PromptShape, fetchedTokens: number): number {
+		const { prefillTokensPerMs, fetchedTokensPerMs } = this.estimate;
+		const missing = this.prefixCache.countMissing(prompt);
+		const fetched = Math.min(missing, fetchedTokens);
+		return (missing - fetched) / prefillTokensPerMs + fetched / fetchedTokensPerMs;
+	}
+
+	private updateSlowness(ratio: number): void {
+		const { slownessUpdateWeight, minSlowness, maxSlowness } = this.estimate;
+		const bounded = Math.min(maxSlowness, Math.max(minSlowness, ratio));
+		this.measuredSlowness += (bounded - this.measuredSlowness) * slownessUpdateWeight;
+	}
+}
--- a/src/entry/node/fleet/ownView.ts
+++ b/src/entry/node/fleet/ownView.ts
@@ -99,7 +99,7 @@
 				.listServices()
 				.map(service => ({ service, room: runners.getRunner(service).measureRoom() })),
 			leavingTargets: [...targets.listSelfReportedLeaving()],
-			crashSightings: [...quarantine.listSightings(timers.getNow())],
+			crashSightings: [...quarantine.listCrashSightings(timers.getNow())],
 		};
 	}
 }
--- a/src/entry/node/requests/crashDetector.ts
+++ b/src/entry/node/requests/crashDetector.ts
@@ -55,7 +55,7 @@
 
 	/** Whether a call was in flight at a crash, and must not run at the same target as another suspect. */
 	isSuspected(call: AcceptedCall): boolean {
-		return this.quarantine.countFingerprints() > 0 && this.quarantine.isSighted(this.getFingerprint(call));
+		return this.quarantine.countFingerprints() > 0 && this.quarantine.isSuspect(this.getFingerprint(call));
 	}
 
 	/**
@@ -89,7 +89,7 @@
 		const hasCrashed = await this.probeForCrash(target);
 		if (hasCrashed) {
 			const fingerprints = inFlight.map(call => this.getFingerprint(call));
-			this.quarantine.noteDeath(target, fingerprints, this.timers.getNow());
+			this.quarantine.noteTargetCrash(target, fingerprints, this.timers.getNow());
 			await this.waitForSharing();
 		}
 	}
--- a/src/entry/node/requests/routerContext.ts
+++ b/src/entry/node/requests/routerContext.ts
@@ -91,7 +91,7 @@
 
 	findOwnerRegion({ call }: RequestRun): OwnerRegion | undefined {
 		const prompt = call.head.routed?.prompt;
-		const shared = prompt && findSharedPart(prompt, defaultWorkPolicy.choice.leastSharedTokens);
+		const shared = prompt && findSharedPart(prompt, defaultWorkPolicy.choice.minSharedTokens);
 		if (shared === undefined) {
 			return undefined;
 		}
