--- a/src/bin/entry.ts
+++ b/src/bin/entry.ts
@@ -6,7 +6,7 @@
 import { PlatformEnvironment } from '../../platform/node/platformEnvironment';
 import { Entry } from '../entry/node/entry';
 import type { IEntryEnvironment } from '../entry/node/environment/entryEnvironment';
-import { OwnEnvironment } from '../entry/node/environment/ownEnvironment';
+import { NativeEnvironment } from '../entry/node/environment/nativeEnvironment';
 import type { EntrySettings } from '../core/settings/common/entrySettings';
 import { entrySettingsSchema, isStoreEntry } from '../core/settings/common/entrySettings';
 import { loadSettingsOrExit } from '../core/settings/node/loadSettings';
@@ -18,7 +18,7 @@
 const description = 'Takes requests in, admits and routes them, and answers each once inside its region.';
 
 function createEnvironment(settings: EntrySettings): IEntryEnvironment {
-	return isStoreEntry(settings) ? new PlatformEnvironment(settings) : new OwnEnvironment(settings);
+	return isStoreEntry(settings) ? new PlatformEnvironment(settings) : new NativeEnvironment(settings);
 }
 
 async function runEntry(): Promise<void> {
--- a/src/bin/test/metrics.test.ts
+++ b/src/bin/test/metrics.test.ts
@@ -11,7 +11,7 @@
 import { SystemTimerService } from '../../base/node/systemTimerService';
 import { findFreePorts } from '../../demo/node/freePorts';
 import { Entry } from '../../entry/node/entry';
-import { OwnEnvironment } from '../../entry/node/environment/ownEnvironment';
+import { NativeEnvironment } from '../../entry/node/environment/nativeEnvironment';
 import { entrySettingsSchema } from '../../core/settings/common/entrySettings';
 import { parseSettings } from '../../core/settings/common/settings';
 import { gaugeDefinitions, listEntryMetrics } from '../../core/telemetry/common/entryMetricDefinitions';
@@ -73,7 +73,7 @@
 	const lines: string[] = [];
 	const logger = pino({}, { write: line => lines.push(line) });
 	const settings = parseSettings(entrySettingsSchema, text)._unsafeUnwrap();
-	const entry = new Entry(settings, new OwnEnvironment(settings), logger, '1.2.3');
+	const entry = new Entry(settings, new NativeEnvironment(settings), logger, '1.2.3');
 	await entry.start();
 	const line = lines.find(text => text.includes('"listening"')) ?? '';
 	const { callers, operators } = JSON.parse(line) as { callers: number; operators: number };
--- a/src/capacity/node/fakePeers.ts
+++ b/src/capacity/node/fakePeers.ts
@@ -101,7 +101,7 @@
 			findHold: () => undefined,
 			describeManifest: () => create(FetchManifestResponseSchema, {}),
 			planForwarded: () => err(createRequestError(ErrorKind.Leaving, 'takes no requests')),
-			refuseTicketed: (_, error) => error,
+			refuseTicketedCall: (_, error) => error,
 			readHead: () => err(createRequestError(ErrorKind.Leaving, 'takes no requests')),
 			accept: () => undefined,
 		};
--- a/src/entry/node/callHandler.ts
+++ b/src/entry/node/callHandler.ts
@@ -1,6 +1,6 @@
 /**
- * Handles the calls of one entry: decides by the manifest in force which calls come in, from callers and from peers,
- * and answers lookups.
+ * Handles the calls that reach one entry from callers and from peers: decides by the current manifest which calls
+ * are accepted, and answers lookups.
  */
 
 import { create } from '@bufbuild/protobuf';
@@ -46,65 +46,68 @@
 import type { SleepDetector } from './sleepDetector';
 import type { TicketService } from './tickets/ticketService';
 
-/** Who this entry is. */
+/** Identity of this entry: its instance settings and the id of the current process start. */
 export type OwnInstance = EntrySettings['instance'] & { readonly boot: BootId };
 
-/** What the handler asks of the parts around it. */
-export type HandlerManifests = Pick<ManifestKeeper, 'getCurrent'>;
-export type HandlerFleet = Pick<EntryFleet, 'listCandidates' | 'receiveViews'>;
-export type HandlerOwnView = Pick<OwnView, 'describeCandidate' | 'isLeaving' | 'isRefusing' | 'getEndsMs'>;
-export type HandlerRuns = Pick<ActiveRuns, 'has'>;
-export type HandlerSources = Pick<IEntrySources, 'listMissing'>;
+/** The subsets of other components that the handler uses. */
+export type CallHandlerManifests = Pick<ManifestKeeper, 'getCurrent'>;
+export type CallHandlerFleet = Pick<EntryFleet, 'listCandidates' | 'receiveViews'>;
+export type CallHandlerOwnView = Pick<
+	OwnView,
+	'describeCandidate' | 'isLeaving' | 'isRefusing' | 'getLatestEndMs'
+>;
+export type CallHandlerRuns = Pick<ActiveRuns, 'has'>;
+export type CallHandlerSources = Pick<IEntrySources, 'listMissing'>;
 
-/** Which entries are to be named. */
-interface EntryWish {
+/** Selects the entries that are named to a caller. */
+interface EntryQuery {
 	readonly region: RegionName;
-	/** Entries of other regions may not serve the caller, so none is named. */
-	readonly isBound: boolean;
+	/** Excludes entries of other regions, because they may not serve the caller. */
+	readonly isRegionRequired: boolean;
 	readonly previous?: InstanceId | undefined;
-	/** Chooses the room by which entries are weighed. */
+	/** The service whose free capacity is used to rank the entries. */
 	readonly service?: ServiceName;
 }
 
 const lookupValidMs = 5_000;
-const numberBase = 36;
-const bootCharacters = 6;
+const counterRadix = 36;
+const bootPrefixLength = 6;
 
-/** Lets calls in. */
+/** Admits calls and answers lookups. */
 export class CallHandler implements ICallHandler, IPeerHandler {
-	private requests = 0;
+	private requestCount = 0;
 
 	constructor(
-		private readonly own: OwnInstance,
+		private readonly ownInstance: OwnInstance,
 		private readonly dialect: ICallerDialect,
-		private readonly manifests: HandlerManifests,
-		private readonly fleet: HandlerFleet,
-		private readonly ownView: HandlerOwnView,
-		private readonly holds: Pick<SleepDetector, 'findHold'>,
+		private readonly manifests: CallHandlerManifests,
+		private readonly fleet: CallHandlerFleet,
+		private readonly ownView: CallHandlerOwnView,
+		private readonly requestHold: Pick<SleepDetector, 'findHold'>,
 		private readonly tickets: TicketService,
 		private readonly router: RequestRouter,
-		private readonly runs: HandlerRuns,
-		private readonly sources: HandlerSources,
+		private readonly runs: CallHandlerRuns,
+		private readonly sources: CallHandlerSources,
 		private readonly metrics: EntryMetrics,
 		private readonly timers: ITimerService,
 		private readonly random: IRandom,
 	) {}
 
 	findHold(): Promise<void> | undefined {
-		return this.holds.findHold();
+		return this.requestHold.findHold();
 	}
 
 	/**
-	 * Two requests under way must not share an id: what is noted of one would be taken for the other's, and a
-	 * target's answer could be given to the wrong caller.
+	 * Two active requests must not share an id. Their records would be mixed up, and a target's answer could be
+	 * returned to the wrong caller.
 	 */
-	createRequestId(wanted?: string): RequestId {
-		if (wanted !== undefined && !this.runs.has(wanted as RequestId)) {
-			return wanted as RequestId;
+	createRequestId(requestedId?: string): RequestId {
+		if (requestedId !== undefined && !this.runs.has(requestedId as RequestId)) {
+			return requestedId as RequestId;
 		}
-		this.requests++;
-		const boot = this.own.boot.slice(0, bootCharacters);
-		return `${this.own.id}-${boot}-${this.requests.toString(numberBase)}` as RequestId;
+		this.requestCount++;
+		const boot = this.ownInstance.boot.slice(0, bootPrefixLength);
+		return `${this.ownInstance.id}-${boot}-${this.requestCount.toString(counterRadix)}` as RequestId;
 	}
 
 	readHead(raw: RawHead): Result<CallHead, RequestError> {
@@ -112,9 +115,12 @@
 		return this.dialect.readHead(raw, manifest?.index);
 	}
 
-	/** It is being stopped: kept connections end with their next answer, also before callers are led elsewhere. */
+	/**
+	 * True from the moment a stop is requested. Persistent connections are then closed after their next answer,
+	 * even before lookups name other entries.
+	 */
 	isLeaving(): boolean {
-		return this.ownView.isLeaving() || Number.isFinite(this.ownView.getEndsMs());
+		return this.ownView.isLeaving() || Number.isFinite(this.ownView.getLatestEndMs());
 	}
 
 	getReadiness(): Readiness {
@@ -129,22 +135,24 @@
 	plan(head: CallHead): Result<CallPlan, RequestError> {
 		const manifest = this.manifests.getCurrent();
 		if (manifest === undefined) {
-			return err(createRequestError(ErrorKind.NoManifest, 'neither the platform nor a peer has given one'));
+			return err(
+				createRequestError(ErrorKind.NoManifest, 'no manifest received from the platform or a peer'),
+			);
 		}
 		if (this.ownView.isRefusing() && !this.isOwnTicket(head)) {
-			return err(this.createLeavingFault());
+			return err(this.createLeavingError());
 		}
-		return planCall(manifest.index, this.own.region, head)
-			.mapErr(error => this.createHomeHint(error, head, manifest))
+		return planCall(manifest.index, this.ownInstance.region, head)
+			.mapErr(error => this.withHomeEntries(error, head, manifest))
 			.andThen(plan => this.checkLeaving(plan, head));
 	}
 
 	planForwarded(head: CallHead, from: ForwardedFrom): Result<CallPlan, RequestError> {
-		return this.plan(head).andThen(plan => checkForwarded(plan, from, this.own.region));
+		return this.plan(head).andThen(plan => checkForwarded(plan, from, this.ownInstance.region));
 	}
 
-	refuseTicketed(ticket: string, error: RequestError): RequestError {
-		const refusal = this.tickets.refuseUnread(ticket, error, this.timers.getNow());
+	refuseTicketedCall(ticket: string, error: RequestError): RequestError {
+		const refusal = this.tickets.refuseUnreadCall(ticket, error, this.timers.getNow());
 		this.metrics.noteTicket(refusal.result);
 		return refusal.error;
 	}
@@ -154,35 +162,37 @@
 	}
 
 	accept(call: AcceptedCall, sink: IAnswerSink): void {
-		this.router.take(call, sink, this.ownView.isRefusing() ? this.createLeavingFault() : undefined);
+		this.router.take(call, sink, this.ownView.isRefusing() ? this.createLeavingError() : undefined);
 	}
 
-	findEntries(question: LookupQuestion): Result<LookupAnswer, RequestError> {
+	findEntries(lookup: LookupQuestion): Result<LookupAnswer, RequestError> {
 		const manifest = this.manifests.getCurrent();
 		if (manifest === undefined) {
-			return err(createRequestError(ErrorKind.NoManifest, 'neither the platform nor a peer has given one'));
+			return err(
+				createRequestError(ErrorKind.NoManifest, 'no manifest received from the platform or a peer'),
+			);
 		}
-		const service = manifest.index.findService(question.service);
+		const service = manifest.index.findService(lookup.service);
 		if (service === undefined) {
-			return err(createRequestError(ErrorKind.UnknownService, `no service ${question.service}`));
+			return err(createRequestError(ErrorKind.UnknownService, `no service ${lookup.service}`));
 		}
-		const home = findHome(service, question, manifest);
-		const region = home ?? this.own.region;
-		const isTicketed = hasAtMostOnceCalls(service) && region === this.own.region && !this.isLeaving();
-		const tickets = isTicketed ? this.tickets.issueBatch(question.tickets, this.timers.getNow()) : [];
+		const requiredRegion = findRequiredRegion(service, lookup, manifest);
+		const region = requiredRegion ?? this.ownInstance.region;
+		const isTicketed = hasAtMostOnceCalls(service) && region === this.ownInstance.region && !this.isLeaving();
+		const tickets = isTicketed ? this.tickets.issueBatch(lookup.tickets, this.timers.getNow()) : [];
 		if (tickets.length > 0) {
 			this.metrics.noteTicket(TicketResult.Issued, tickets.length);
 		}
-		const entries = this.listEntriesOf({
+		const entries = this.listRankedEntries({
 			region,
-			isBound: home !== undefined,
-			previous: question.previous,
+			isRegionRequired: requiredRegion !== undefined,
+			previous: lookup.previous,
 			service: service.name,
 		});
-		return ok({ service: question.service, validForMs: lookupValidMs, entries, tickets });
+		return ok({ service: lookup.service, validForMs: lookupValidMs, entries, tickets });
 	}
 
-	/** The entries that callers of a host may use from a place, for those that choose among them by themselves. */
+	/** Lists the entries that a caller in a region and zone may use for a host, when the caller selects one itself. */
 	listEntriesFor(host: string, region: RegionName, zone: ZoneName): readonly LookupCandidate[] {
 		const homes = this.manifests.getCurrent()?.index.countHomes(host) ?? new Map();
 		const candidates = [this.ownView.describeCandidate(undefined), ...this.fleet.listCandidates(undefined)];
@@ -203,38 +213,42 @@
 	}
 
 	/**
-	 * A leaving issuer is the only one that knows what became of its tickets, and is soon gone. Refused by its
-	 * head, a resend of a payment that has run would be told `unknown` here and at every other entry; so it is
-	 * let in as far as the ledger, which joins or replays it, and refuses a fresh ticket.
+	 * Only the entry that issued a ticket has a record of whether its call has run, and a leaving entry stops soon.
+	 * If it refused calls by their head alone, the resend of a payment that has run would get the outcome `unknown`
+	 * from this entry and from every other one. Calls with a ticket of this entry are therefore passed on to the
+	 * ledger, which joins or replays calls it has seen and refuses unused tickets.
 	 */
 	private isOwnTicket({ ticket }: CallHead): boolean {
 		return ticket !== undefined && this.tickets.isOwn(ticket);
 	}
 
-	/** A ticket guards nothing where calls may be repeated: there, it opens no leaving entry. */
+	/**
+	 * Refuses a routed call that cannot finish before this entry stops. While new work is refused, also refuses calls
+	 * that may be repeated: a ticket does not protect those, so carrying one is no reason to accept them.
+	 */
 	private checkLeaving(plan: CallPlan, { routed }: CallHead): Result<CallPlan, RequestError> {
-		const leftMs = this.ownView.getEndsMs() - this.timers.getNow();
-		const isTooLong = !isFinishable(routed?.prompt, leftMs) && routed !== undefined;
+		const timeLeftMs = this.ownView.getLatestEndMs() - this.timers.getNow();
+		const isTooLong = !isFinishable(routed?.prompt, timeLeftMs) && routed !== undefined;
 		const isRefused = isTooLong || (this.ownView.isRefusing() && plan.repeat !== RepeatRule.AtMostOnce);
-		return isRefused ? err(this.createLeavingFault()) : ok(plan);
+		return isRefused ? err(this.createLeavingError()) : ok(plan);
 	}
 
-	private createLeavingFault(): RequestError {
-		const entries = this.listEntriesOf({ region: this.own.region, isBound: false });
-		return createRequestError(ErrorKind.Leaving, this.own.id, { entries });
+	private createLeavingError(): RequestError {
+		const entries = this.listRankedEntries({ region: this.ownInstance.region, isRegionRequired: false });
+		return createRequestError(ErrorKind.Leaving, this.ownInstance.id, { entries });
 	}
 
-	private createHomeHint(error: RequestError, head: CallHead, manifest: IndexedManifest): RequestError {
+	private withHomeEntries(error: RequestError, head: CallHead, manifest: IndexedManifest): RequestError {
 		const home = manifest.index.findOrganisation(head.organisation)?.home;
 		if (error.kind !== ErrorKind.WrongRegion || home === undefined) {
 			return error;
 		}
-		return { ...error, entries: this.listEntriesOf({ region: home, isBound: true }) };
+		return { ...error, entries: this.listRankedEntries({ region: home, isRegionRequired: true }) };
 	}
 
-	private listEntriesOf(wish: EntryWish): readonly NamedEntry[] {
-		const { region, isBound, previous, service } = wish;
-		const zone = region === this.own.region ? this.own.zone : undefined;
+	private listRankedEntries(query: EntryQuery): readonly NamedEntry[] {
+		const { region, isRegionRequired: isBound, previous, service } = query;
+		const zone = region === this.ownInstance.region ? this.ownInstance.zone : undefined;
 		const candidates = [
 			this.ownView.describeCandidate(service),
 			...this.fleet.listCandidates(service),
@@ -243,12 +257,12 @@
 		const ranked = rankEntries({ region, zone, previous }, candidates, this.random);
 		return ranked.flatMap(instance => {
 			const candidate = byInstance.get(instance);
-			return candidate === undefined ? [] : [createName(candidate)];
+			return candidate === undefined ? [] : [createNamedEntry(candidate)];
 		});
 	}
 }
 
-function createName({ instance, region, zone, callerUrl }: LookupCandidate): NamedEntry {
+function createNamedEntry({ instance, region, zone, callerUrl }: LookupCandidate): NamedEntry {
 	return { instance, region, zone, url: callerUrl };
 }
 
@@ -256,14 +270,14 @@
 	return [service, ...service.rules].some(rule => rule.repeat === RepeatRule.AtMostOnce);
 }
 
-function findHome(
+function findRequiredRegion(
 	service: ManifestService,
-	question: LookupQuestion,
+	lookup: LookupQuestion,
 	manifest: IndexedManifest,
 ): RegionName | undefined {
-	const isBound = [service, ...service.rules].some(rule => rule.residency === ResidencyRule.Home);
-	if (!isBound || question.organisation === undefined) {
+	const isHomeRequired = [service, ...service.rules].some(rule => rule.residency === ResidencyRule.Home);
+	if (!isHomeRequired || lookup.organisation === undefined) {
 		return undefined;
 	}
-	return manifest.index.findOrganisation(question.organisation)?.home;
+	return manifest.index.findOrganisation(lookup.organisation)?.home;
 }
--- a/src/entry/node/callers/bodyReader.ts
+++ b/src/entry/node/callers/bodyReader.ts
@@ -1,8 +1,8 @@
 /**
- * Reads request bodies whole before anything is decided about their run. While a body is being read no
- * target can have seen any of it, so a caller that goes away in the middle is `not-run` without doubt; and
- * a repeatable request can be sent again from the copy. The bytes held at one time are bounded, since
- * callers that upload slowly would otherwise fill the memory of an entry.
+ * Buffers complete request bodies before the requests are scheduled. While a body is being read, no target has
+ * received any of it, so a request whose caller disconnects meanwhile is certainly `not-run`. A repeatable request
+ * can also be sent again from the buffered body. The total number of buffered bytes is limited, because callers
+ * that upload slowly would otherwise fill the memory of the entry.
  */
 
 import type { IncomingMessage } from 'node:http';
@@ -11,53 +11,53 @@
 import type { RequestError } from '../../../core/errors/common/errorKinds';
 import { createRequestError, ErrorKind } from '../../../core/errors/common/errorKinds';
 
-/** Counts the bytes of bodies held by all requests of the entry. */
+/** Counts and limits the body bytes that are buffered for all requests of the entry. */
 export class HeldBytes {
-	private held = 0;
+	private total = 0;
 
-	/** @param limit bytes that may be held at one time */
+	/** @param limit maximum number of bytes buffered at one time */
 	constructor(private readonly limit: number) {}
 
-	getHeld(): number {
-		return this.held;
+	getTotal(): number {
+		return this.total;
 	}
 
-	/** Takes bytes, or gives false and takes none when they would pass the limit. */
+	/** Reserves bytes; returns false and reserves none if the limit would be exceeded. */
 	reserve(bytes: number): boolean {
-		if (this.held + bytes > this.limit) {
+		if (this.total + bytes > this.limit) {
 			return false;
 		}
-		this.held += bytes;
+		this.total += bytes;
 		return true;
 	}
 
 	release(bytes: number): void {
-		this.held -= bytes;
+		this.total -= bytes;
 	}
 }
 
-/** Reads a body; what it holds is counted in `held` until the caller of this function releases it. */
+/** Reads a body. Its bytes stay reserved in `heldBytes` until the caller of this function releases them. */
 export async function readBody(
 	request: IncomingMessage,
-	mostBytes: number,
-	held: HeldBytes,
+	maxBytes: number,
+	heldBytes: HeldBytes,
 ): Promise<Result<Uint8Array, RequestError>> {
-	const announced = Number(request.headers['content-length'] ?? 0);
-	if (announced > mostBytes) {
-		return err(createRequestError(ErrorKind.BodyTooLarge, `${announced} bytes, at most ${mostBytes}`));
+	const declaredBytes = Number(request.headers['content-length'] ?? 0);
+	if (declaredBytes > maxBytes) {
+		return err(createRequestError(ErrorKind.BodyTooLarge, `${declaredBytes} bytes, at most ${maxBytes}`));
 	}
-	const reader = new BodyReader(request, mostBytes, held);
+	const reader = new BodyReader(request, maxBytes, heldBytes);
 	return reader.read();
 }
 
 class BodyReader {
 	private readonly chunks: Buffer[] = [];
-	private bytes = 0;
+	private receivedBytes = 0;
 
 	constructor(
 		private readonly request: IncomingMessage,
-		private readonly mostBytes: number,
-		private readonly held: HeldBytes,
+		private readonly maxBytes: number,
+		private readonly heldBytes: HeldBytes,
 	) {}
 
 	async read(): Promise<Result<Uint8Array, RequestError>> {
@@ -65,15 +65,15 @@
 			const finish = (result: Result<Uint8Array, RequestError>): void => {
 				this.request.removeAllListeners('data');
 				if (result.isErr()) {
-					this.held.release(this.bytes);
-					this.bytes = 0;
+					this.heldBytes.release(this.receivedBytes);
+					this.receivedBytes = 0;
 				}
 				resolve(result);
 			};
 			this.request.on('data', (chunk: Buffer) => {
-				const fault = this.keep(chunk);
-				if (fault !== undefined) {
-					finish(err(fault));
+				const error = this.addChunk(chunk);
+				if (error !== undefined) {
+					finish(err(error));
 				}
 			});
 			this.request.once('end', () => {
@@ -83,20 +83,23 @@
 			});
 			this.request.once('close', () => {
 				if (!this.request.complete) {
-					finish(err(createRequestError(ErrorKind.BodyIncomplete, `${this.bytes} bytes came`)));
+					finish(err(createRequestError(ErrorKind.BodyIncomplete, `${this.receivedBytes} bytes received`)));
 				}
 			});
 		});
 	}
 
-	private keep(chunk: Buffer): RequestError | undefined {
-		if (this.bytes + chunk.byteLength > this.mostBytes) {
-			return createRequestError(ErrorKind.BodyTooLarge, `at most ${this.mostBytes} bytes`);
+	private addChunk(chunk: Buffer): RequestError | undefined {
+		if (this.receivedBytes + chunk.byteLength > this.maxBytes) {
+			return createRequestError(ErrorKind.BodyTooLarge, `at most ${this.maxBytes} bytes`);
 		}
-		if (!this.held.reserve(chunk.byteLength)) {
-			return createRequestError(ErrorKind.EntryFull, 'the bodies held fill the memory set aside for them');
+		if (!this.heldBytes.reserve(chunk.byteLength)) {
+			return createRequestError(
+				ErrorKind.EntryFull,
+				'the memory limit for buffered request bodies is reached',
+			);
 		}
-		this.bytes += chunk.byteLength;
+		this.receivedBytes += chunk.byteLength;
 		this.chunks.push(chunk);
 		return undefined;
 	}
--- a/src/entry/node/callers/callerServer.ts
+++ b/src/entry/node/callers/callerServer.ts
@@ -1,6 +1,7 @@
 /**
- * The callers' HTTP server: lookups and calls. It reads heads and bodies, refuses what can be refused by
- * them, and hands the rest to the entry. Faults of the HTTP itself are answered from the closed list too.
+ * The HTTP server for callers, which serves lookups and calls. It reads heads and bodies, refuses requests that they
+ * show to be invalid, and passes the others on to the entry. HTTP parse errors are also answered with one of the
+ * defined error kinds.
  */
 
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
@@ -29,73 +30,73 @@
 import { readBody } from './bodyReader';
 import { CallerSink } from './callerSink';
 
-/** What the server asks of the entry. */
+/** The operations of the entry that the server uses. */
 export interface ICallHandler {
-	/** The id wanted by the caller where it is free, or one of the entry's own. */
-	createRequestId(wanted?: string): RequestId;
-	/** Reads the head of a call by the manifest in force. */
+	/** Returns the id requested by the caller if it is not in use, or else a new id. */
+	createRequestId(requestedId?: string): RequestId;
+	/** Parses the head of a call with the current manifest. */
 	readHead(raw: RawHead): Result<CallHead, RequestError>;
-	/** Undefined, or what a call must wait for after this process slept. */
+	/** Undefined, or a promise that new calls must wait for after startup or a suspension of the process. */
 	findHold(): Promise<void> | undefined;
 	/** Decides by the head alone whether the call may go on to its body. */
 	plan(head: CallHead): Result<CallPlan, RequestError>;
-	/** Weakens a refusal of a call that carries a ticket, whose earlier copy may have run. */
-	refuseTicketed(ticket: string, error: RequestError): RequestError;
+	/** Adapts the refusal of a call with a ticket: the outcome may be unknown, since an earlier copy may have run. */
+	refuseTicketedCall(ticket: string, error: RequestError): RequestError;
 	/** Counts and records a call that ended before it was accepted. */
 	recordRefused(call: RefusedCall, error: RequestError): void;
 	accept(call: AcceptedCall, sink: IAnswerSink): void;
-	findEntries(question: LookupQuestion): Result<LookupAnswer, RequestError>;
+	findEntries(lookup: LookupQuestion): Result<LookupAnswer, RequestError>;
 	isLeaving(): boolean;
 }
 
-/** Bounds of what a caller may send. */
+/** Limits for requests and connections of callers. */
 export interface CallerLimits {
-	readonly mostHeadBytes: number;
-	readonly mostBodyBytes: number;
-	/** The head of a request must be whole after this time, in milliseconds. */
+	readonly maxHeadBytes: number;
+	readonly maxBodyBytes: number;
+	/** Maximum time to receive the complete head of a request, in milliseconds. */
 	readonly headTimeoutMs?: number;
-	/** An idle connection is closed after this time, in milliseconds. */
+	/** Maximum time that a connection may be idle, in milliseconds. */
 	readonly idleTimeoutMs?: number;
 }
 
 const lookupPath = '/v1/entries';
-const headTimeoutMs = 10_000;
-/** A whole request, its body included, must arrive in this time. */
+const defaultHeadTimeoutMs = 10_000;
+/** Maximum time to receive a complete request with its body. */
 const requestTimeoutMs = 120_000;
-/** Longer than callers usually keep idle connections, so that it is they who close them. */
-const keepAliveTimeoutMs = 75_000;
-/** Ended answers that a caller has not read: some megabytes, for which a thin link takes a minute. */
-const mostFlushMs = 120_000;
-const overflowCode = 'HPE_HEADER_OVERFLOW';
-/** A caller that took too long over its head has no request that an answer could belong to. */
-const timeoutCode = 'ERR_HTTP_REQUEST_TIMEOUT';
-/** Time between two looks at connections that take too long. */
-const timeoutCheckMs = 1_000;
+/** Longer than callers usually keep idle connections, so that the caller closes them first. */
+const defaultIdleTimeoutMs = 75_000;
+/** Maximum time to flush finished answers at shutdown. Some megabytes take a minute over a slow link. */
+const maxFlushMs = 120_000;
+const headerOverflowCode = 'HPE_HEADER_OVERFLOW';
+/** The caller did not send a complete head in time, so there is no request to answer. */
+const requestTimeoutCode = 'ERR_HTTP_REQUEST_TIMEOUT';
+/** Interval at which Node checks connections for timeouts. */
+const timeoutCheckIntervalMs = 1_000;
 
-/** Serves callers. */
+/** Serves lookups and calls over HTTP/1.1. */
 export class CallerServer {
 	private readonly server: Server;
 
 	constructor(
 		private readonly handler: ICallHandler,
 		private readonly dialect: ICallerDialect,
-		private readonly held: HeldBytes,
+		private readonly heldBytes: HeldBytes,
 		private limits: CallerLimits,
 		private readonly intake: RequestIntake,
 		private readonly timers: ITimerService,
 	) {
 		this.server = createServer(
 			{
-				maxHeaderSize: limits.mostHeadBytes,
-				headersTimeout: headTimeoutMs,
+				maxHeaderSize: limits.maxHeadBytes,
+				headersTimeout: defaultHeadTimeoutMs,
 				requestTimeout: requestTimeoutMs,
-				connectionsCheckingInterval: timeoutCheckMs,
+				connectionsCheckingInterval: timeoutCheckIntervalMs,
 			},
 			(request, response) => {
 				this.serve(request, response);
 			},
 		);
-		this.server.keepAliveTimeout = keepAliveTimeoutMs;
+		this.server.keepAliveTimeout = defaultIdleTimeoutMs;
 		this.server.on('connection', () => {
 			this.intake.noteConnection();
 		});
@@ -111,26 +112,27 @@
 		return listenOn(this.server, address);
 	}
 
-	/** Puts other bounds in force for requests and connections from now on; heads never get larger. */
+	/** Changes the limits for new requests and connections. The maximum head size can only be lowered. */
 	setLimits(limits: CallerLimits): void {
 		this.limits = limits;
-		this.server.headersTimeout = limits.headTimeoutMs ?? headTimeoutMs;
-		this.server.keepAliveTimeout = limits.idleTimeoutMs ?? keepAliveTimeoutMs;
+		this.server.headersTimeout = limits.headTimeoutMs ?? defaultHeadTimeoutMs;
+		this.server.keepAliveTimeout = limits.idleTimeoutMs ?? defaultIdleTimeoutMs;
 	}
 
-	/** Stops taking new connections; those that are open go on. */
+	/** Stops accepting connections; active ones continue and idle ones are closed. */
 	stopListening(): void {
 		this.server.close();
 		this.server.closeIdleConnections();
 	}
 
 	/**
-	 * Stops listening, and ends once the answers in progress have been read. A caller that is gone without a
-	 * word never reads its last bytes, and would keep the process for as long as the system tries to send.
+	 * Stops listening, and resolves when the answers in progress have been sent. The wait is limited, because a
+	 * caller that vanished without closing its connection never reads the rest of its answer, and the process would
+	 * otherwise run for as long as the operating system retransmits.
 	 */
 	async close(): Promise<void> {
 		return new Promise(resolve => {
-			const limit = this.timers.schedule(mostFlushMs, () => {
+			const limit = this.timers.schedule(maxFlushMs, () => {
 				this.server.closeAllConnections();
 			});
 			this.server.close(() => {
@@ -153,7 +155,7 @@
 	private serveLookup(url: string, request: IncomingMessage, response: ServerResponse): void {
 		const arrivedMs = this.timers.getNow();
 		const id = this.handler.createRequestId();
-		const answer = parseLookup(url).andThen(question => this.handler.findEntries(question));
+		const answer = parseLookup(url).andThen(lookup => this.handler.findEntries(lookup));
 		if (answer.isErr()) {
 			this.handler.recordRefused({ id, head: undefined, line: `GET ${url}`, arrivedMs }, answer.error);
 			this.createSink(id, request, response).refuse(answer.error);
@@ -191,39 +193,39 @@
 		if (request.headers.expect !== undefined) {
 			response.writeContinue();
 		}
-		const body = await readBody(request, this.limits.mostBodyBytes, this.held);
+		const body = await readBody(request, this.limits.maxBodyBytes, this.heldBytes);
 		if (body.isErr()) {
 			this.refuseBody(sink, call, body.error);
 			return;
 		}
 		const admitted = await this.intake.admit(() => response.destroyed || request.socket.readableEnded);
 		if (admitted?.isErr() === true) {
-			this.held.release(body.value.byteLength);
+			this.heldBytes.release(body.value.byteLength);
 			this.refuse(sink, call, head.value.ticket, admitted.error);
 			return;
 		}
-		this.handler.accept(createCall(id, head.value, plan.value, body.value, arrivedMs), sink);
+		this.handler.accept(createAcceptedCall(id, head.value, plan.value, body.value, arrivedMs), sink);
 	}
 
 	private readHead(raw: RawHead): Result<CallHead, RequestError> {
 		const headBytes = measureHead(raw);
-		if (headBytes > this.limits.mostHeadBytes) {
-			const detail = `${headBytes} bytes, at most ${this.limits.mostHeadBytes}`;
+		if (headBytes > this.limits.maxHeadBytes) {
+			const detail = `${headBytes} bytes, at most ${this.limits.maxHeadBytes}`;
 			return err(createRequestError(ErrorKind.HeadTooLarge, detail));
 		}
 		return this.handler.readHead(raw);
 	}
 
-	/** A body that broke off is told to nobody; its ticket stays unspent, so that the resend can run. */
+	/** An incomplete body leaves its ticket unused, so that a resend of the call can run. */
 	private refuseBody(sink: CallerSink, call: RefusedCall, error: RequestError): void {
 		const ticket = error.kind === ErrorKind.BodyIncomplete ? undefined : call.head?.ticket;
 		this.refuse(sink, call, ticket, error);
 	}
 
 	private refuse(sink: CallerSink, call: RefusedCall, ticket: string | undefined, error: RequestError): void {
-		const told = ticket === undefined ? error : this.handler.refuseTicketed(ticket, error);
-		this.handler.recordRefused(call, told);
-		sink.refuse(told);
+		const reported = ticket === undefined ? error : this.handler.refuseTicketedCall(ticket, error);
+		this.handler.recordRefused(call, reported);
+		sink.refuse(reported);
 	}
 
 	private createSink(id: RequestId, request: IncomingMessage, response: ServerResponse): CallerSink {
@@ -231,16 +233,16 @@
 	}
 
 	private answerParseError(error: NodeJS.ErrnoException, socket: Socket): void {
-		if (!socket.writable || error.code === 'ECONNRESET' || error.code === timeoutCode) {
+		if (!socket.writable || error.code === 'ECONNRESET' || error.code === requestTimeoutCode) {
 			socket.destroy();
 			return;
 		}
-		const kind = error.code === overflowCode ? ErrorKind.HeadTooLarge : ErrorKind.MalformedHeader;
-		const fault = createRequestError(kind, error.code ?? error.message);
+		const kind = error.code === headerOverflowCode ? ErrorKind.HeadTooLarge : ErrorKind.MalformedHeader;
+		const requestError = createRequestError(kind, error.code ?? error.message);
 		const id = this.handler.createRequestId();
-		const line = 'a request that cannot be read';
-		this.handler.recordRefused({ id, head: undefined, line, arrivedMs: this.timers.getNow() }, fault);
-		const refusal = this.dialect.createRefusal(id, fault);
+		const line = 'a malformed HTTP request';
+		this.handler.recordRefused({ id, head: undefined, line, arrivedMs: this.timers.getNow() }, requestError);
+		const refusal = this.dialect.createRefusal(id, requestError);
 		const lines = [
 			...refusal.lines,
 			{ name: 'connection', value: 'close' },
@@ -262,29 +264,32 @@
 	return { method: request.method ?? 'GET', url: request.url ?? '/', lines };
 }
 
-function createCall(
+function createAcceptedCall(
 	id: RequestId,
 	head: CallHead,
 	plan: CallPlan,
 	body: Uint8Array,
 	arrivedMs: number,
 ): AcceptedCall {
-	const lifetimeMs = head.deadlineMs ?? plan.classes[head.requestClass].defaultDeadlineMs;
+	const timeLimitMs = head.deadlineMs ?? plan.classes[head.requestClass].defaultDeadlineMs;
 	return {
 		id,
 		head,
 		plan,
 		body,
 		arrivedMs,
-		deadlineMs: arrivedMs + lifetimeMs,
+		deadlineMs: arrivedMs + timeLimitMs,
 		isDeadlineGiven: head.deadlineMs !== undefined,
 		origin: undefined,
 	};
 }
 
-/** Bytes of a head on the wire: the request's line, and each line with its colon, space and end. */
+/** Size of a head on the wire: the request line, and each header line with its colon, space and line end. */
 function measureHead({ method, url, lines }: RawHead): number {
-	const perLine = 4;
+	const separatorBytes = 4;
 	const requestLine = method.length + url.length + ' HTTP/1.1  \r\n\r\n'.length;
-	return lines.reduce((sum, { name, value }) => sum + name.length + value.length + perLine, requestLine);
+	return lines.reduce(
+		(sum, { name, value }) => sum + name.length + value.length + separatorBytes,
+		requestLine,
+	);
 }
--- a/src/entry/node/callers/callerSink.ts
+++ b/src/entry/node/callers/callerSink.ts
@@ -1,5 +1,5 @@
 /**
- * The sink of a caller's HTTP connection.
+ * Writes answers and refusals to a caller's HTTP connection.
  */
 
 import type { IncomingMessage, ServerResponse } from 'node:http';
@@ -9,11 +9,11 @@
 import type { HeaderLine } from '../../common/callers/callHead';
 import type { ICallerDialect } from '../../common/dialect/callerDialect';
 
-/** Whether connections should be given up after the answers in progress; asked at each answer's head. */
+/** Whether connections are closed after their current answer. Called when the head of each answer is written. */
 export type IsClosing = () => boolean;
 
-/** How long a refused upload's connection stays open so that the caller can read the refusal. */
-const lingerMs = 1_000;
+/** How long the connection of a refused upload stays open, so that the caller can read the refusal. */
+const refusedUploadLingerMs = 1_000;
 
 /** Writes one answer to one caller. */
 export class CallerSink implements IAnswerSink {
@@ -86,28 +86,28 @@
 	}
 
 	/**
-	 * A request without a body is incomplete too until its handler returns. Taken for an upload, each refused
-	 * GET would cost its caller the connection, just when many are refused.
+	 * Node also reports a request without a body as incomplete until its handler returns. Treating such a request as
+	 * an upload would close the connection after each refused GET, at the time when many requests are refused.
 	 */
 	private hasUnreadBody(): boolean {
 		const { complete, headers } = this.request;
-		const isAnnounced =
+		const isBodyDeclared =
 			headers['transfer-encoding'] !== undefined || Number(headers['content-length'] ?? 0) > 0;
-		return isAnnounced && !complete;
+		return isBodyDeclared && !complete;
 	}
 
 	/**
-	 * Closing a socket that still receives an upload resets it, and the reset can overtake the refusal: the
-	 * caller would see a broken connection and no outcome. Node closes the socket as soon as an answer with
-	 * `Connection: close` has ended; so the refusal, whole by its length, is written but not ended until the
-	 * caller has had time to read it. The upload stays unread meanwhile.
+	 * Closing a socket that is still receiving an upload resets the connection, and the reset can arrive before the
+	 * refusal: the caller would see a broken connection and no outcome. Node closes the socket as soon as an answer
+	 * with `Connection: close` ends. The complete refusal, with its content length, is therefore written but not
+	 * ended until the caller has had time to read it. The rest of the upload is not read.
 	 */
 	private closeUnreadUpload(): void {
 		this.request.pause();
 		const timer = setTimeout(() => {
 			this.response.end();
 			this.request.destroy();
-		}, lingerMs);
+		}, refusedUploadLingerMs);
 		this.request.once('close', () => {
 			clearTimeout(timer);
 		});
--- a/src/entry/node/callers/test/callerServer.test.ts
+++ b/src/entry/node/callers/test/callerServer.test.ts
@@ -9,8 +9,8 @@
 import { RepeatRule } from '../../../../core/manifest/common/manifest';
 import { RequestIntake } from '../../../common/intake/requestIntake';
 import { ImmediateTurnScheduler } from '../../immediateTurnScheduler';
-import type { HandlerWorld } from '../../test/callHandlerFixtures';
-import { createHandlerWorld } from '../../test/callHandlerFixtures';
+import type { HandlerFixture } from '../../test/callHandlerFixtures';
+import { createHandlerFixture } from '../../test/callHandlerFixtures';
 import { OwnCallerDialect } from '../../../common/dialect/ownCallerDialect';
 import { CallerServer } from '../callerServer';
 
@@ -20,15 +20,20 @@
 	owned.dispose();
 });
 
-async function startServer(world: HandlerWorld): Promise<{ url: string; port: number; agent: Agent }> {
-	const limits = { mostHeadBytes: 2_048, mostBodyBytes: 100 };
+async function startServer(fixture: HandlerFixture): Promise<{ url: string; port: number; agent: Agent }> {
+	const limits = { maxHeadBytes: 2_048, maxBodyBytes: 100 };
 	const server = new CallerServer(
-		world.handler,
+		fixture.handler,
 		new OwnCallerDialect(),
-		world.held,
+		fixture.heldBytes,
 		limits,
-		new RequestIntake(new ImmediateTurnScheduler(), world.flow.timers, new SeededRandom(1), () => undefined),
-		world.flow.timers,
+		new RequestIntake(
+			new ImmediateTurnScheduler(),
+			fixture.flow.timers,
+			new SeededRandom(1),
+			() => undefined,
+		),
+		fixture.flow.timers,
 	);
 	const { port } = await server.listen({ host: '127.0.0.1', port: 0 });
 	const agent = new Agent({ connections: 1, pipelining: 1 });
@@ -47,11 +52,11 @@
 }
 
 describe('a refused request', () => {
-	// A caller is refused and hands its request id to the operators. If the entry kept nothing of the
-	// request, they could not say why, nor whether it was this caller's fault at all.
-	it('has a record under the id that its caller was told', async () => {
-		const world = createHandlerWorld();
-		const { url, port, agent } = await startServer(world);
+	// A caller is refused and reports the request id to the operators. Without a record of the request, they could
+	// neither find the reason nor tell whether the caller caused it.
+	it('has a record under the id that was returned to its caller', async () => {
+		const fixture = createHandlerFixture();
+		const { url, port, agent } = await startServer(fixture);
 		const organisation = { 'anvilroad-organisation': 'harbour-hotel' };
 		const answers = [
 			await request(`${url}/nowhere`, { dispatcher: agent }),
@@ -66,24 +71,24 @@
 		];
 		const ids = answers.map(answer => String(answer.headers['anvilroad-request-id']));
 		ids.push(/anvilroad-request-id: (\S+)/.exec(await sendGarbage(port))?.[1] ?? '');
-		const told = ids.map(id => {
-			const steps = world.journal.find(id as RequestId)?.entries ?? [];
+		const recorded = ids.map(id => {
+			const steps = fixture.journal.find(id as RequestId)?.entries ?? [];
 			return steps.map(({ step, detail }) => `${step} ${detail.split(':', 1)[0] ?? ''}`);
 		});
-		expect(told.map(steps => [steps[0], steps.at(-1)])).toEqual([
+		expect(recorded.map(steps => [steps[0], steps.at(-1)])).toEqual([
 			['received GET /nowhere', 'ended not-run; unknown-route'],
 			['received GET /v1/entries?service=none', 'ended not-run; unknown-service'],
 			['received GET /v1/services/none/x', 'ended not-run; unknown-service'],
 			['received POST /v1/services/bookings/pay', 'ended not-run; body-too-large'],
-			['received a request that cannot be read', 'ended not-run; malformed-header'],
+			['received a malformed HTTP request', 'ended not-run; malformed-header'],
 		]);
 		await Promise.all(answers.map(async answer => answer.body.dump()));
 	});
 
-	// Many callers are refused at once, as in an overload. If each lost its connection with the answer, all
-	// of them would connect anew, which costs the busy entry more than the refusals.
-	it('keeps its connection unless a body is left unread', async () => {
-		const { url, agent } = await startServer(createHandlerWorld());
+	// Many callers are refused at once in an overload. If each refusal closed its connection, all callers would
+	// reconnect, which costs the overloaded entry more than the refusals.
+	it('keeps its connection open unless a body is left unread', async () => {
+		const { url, agent } = await startServer(createHandlerFixture());
 		const options = { dispatcher: agent };
 		const empty = [
 			await request(`${url}/nowhere`, options),
@@ -121,17 +126,17 @@
 
 	// Guards against connections that wait in the kernel's accept queue while requests of earlier ones are started.
 	it('are accepted before their requests are started', async () => {
-		const world = createHandlerWorld(RepeatRule.Idempotent);
-		const { port } = await startServer(world);
+		const fixture = createHandlerFixture(RepeatRule.Idempotent);
+		const { port } = await startServer(fixture);
 		let accepted = 0;
 		const acceptedAtStart: number[] = [];
 		const countAccepted = (): void => {
 			accepted++;
 		};
-		const { accept } = world.handler;
-		world.handler.accept = (...args) => {
+		const { accept } = fixture.handler;
+		fixture.handler.accept = (...args) => {
 			acceptedAtStart.push(accepted);
-			accept.apply(world.handler, args);
+			accept.apply(fixture.handler, args);
 		};
 		subscribe('net.server.socket', countAccepted);
 		await openCallers(port, () => undefined);
@@ -142,12 +147,12 @@
 
 	// Guards against sending requests to a target after their callers have disconnected.
 	it('are not served once their callers have disconnected', async () => {
-		const world = createHandlerWorld(RepeatRule.Idempotent);
-		const { port } = await startServer(world);
+		const fixture = createHandlerFixture(RepeatRule.Idempotent);
+		const { port } = await startServer(fixture);
 		await openCallers(port, socket => {
 			socket.destroy();
 		});
 		await waitForTurns(200);
-		expect(world.flow.attempts.length).toBeLessThanOrEqual(1);
+		expect(fixture.flow.attempts.length).toBeLessThanOrEqual(1);
 	});
 });
--- a/src/entry/node/callers/test/callerSink.test.ts
+++ b/src/entry/node/callers/test/callerSink.test.ts
@@ -8,7 +8,7 @@
 import { CallerSink } from '../callerSink';
 
 const uploadBytes = 16_777_216;
-/** A caller on a thin link, or a busy one, looks at the answer only after a while. */
+/** Simulates a caller that is slow to read the answer. */
 const readAfterMs = 150;
 
 async function openRefusingServer(): Promise<Server> {
@@ -20,7 +20,7 @@
 	return server;
 }
 
-/** Uploads without looking, then reads what there is; gives the answer's text or the socket's error. */
+/** Uploads without reading, then reads what has arrived; returns the answer's text or the socket's error. */
 async function sendThenRead(port: number): Promise<string> {
 	return new Promise(resolve => {
 		const socket = connect(port, '127.0.0.1');
@@ -42,8 +42,8 @@
 
 describe('CallerSink', () => {
 	it('lets a caller that is still uploading read why it was refused', async () => {
-		// A caller sends a body that is larger than allowed and is refused by its announced length. If the
-		// connection is closed with the upload unread, the caller sees a broken pipe and never the refusal.
+		// A caller sends a body that is too large and is refused by its content length. If the connection were
+		// closed with the upload unread, the caller would get a broken pipe instead of the refusal.
 		const server = await openRefusingServer();
 		const text = await sendThenRead((server.address() as AddressInfo).port);
 		expect(text).toContain('HTTP/1.1 413');
--- a/src/entry/node/entry.ts
+++ b/src/entry/node/entry.ts
@@ -1,6 +1,6 @@
 /**
- * One entry: puts the parts together, starts them and ends them. No part knows the entry; each is handed
- * what it needs.
+ * Composition root of one entry: creates its components, starts them and stops them. No component refers to the
+ * entry; each gets its dependencies through its constructor.
  */
 
 import { randomBytes, randomInt } from 'node:crypto';
@@ -34,10 +34,10 @@
 import { EntryFleet } from './fleet/entryFleet';
 import { OwnView } from './fleet/ownView';
 import { ManifestKeeper } from './manifest/manifestKeeper';
-import { describeOfferState } from './manifest/offerMetrics';
+import { getManifestResult } from './manifest/manifestMetrics';
 import { EntryOperatorsSource } from './operatorsSource';
 import { PeerClients } from './peers/peerClients';
-import { PeerFollowing } from './peerFollowing';
+import { PeerViewListener } from './peerViewListener';
 import { PeerServer } from './peers/peerServer';
 import { ActiveRuns } from './requests/activeRuns';
 import { CrashWatch } from './requests/crashWatch';
@@ -50,32 +50,32 @@
 import { createTicketService } from './tickets/createTicketService';
 import type { TicketService } from './tickets/ticketService';
 
-const trailCapacity = 4_096;
+const auditTrailCapacity = 4_096;
 const journalCapacity = 10_000;
 const bootIdBytes = 6;
-const housekeepingMs = 1_000;
-/** How often the last entry of a region looks for another one, in milliseconds. */
-const successorCheckMs = 100;
-const largestSeed = 0x7fff_ffff;
+const quarantineExpiryIntervalMs = 1_000;
+/** How often the last entry of a region checks whether another one is available, in milliseconds. */
+const successorCheckIntervalMs = 100;
+const maxSeed = 0x7fff_ffff;
 
-/** One running entry. */
+/** One running entry process. */
 export class Entry extends Disposable {
-	private readonly boot = randomBytes(bootIdBytes).toString('hex') as BootId;
+	private readonly bootId = randomBytes(bootIdBytes).toString('hex') as BootId;
 	private readonly timers = this.register(new SystemTimerService());
-	private readonly random = new SeededRandom(randomInt(largestSeed));
-	private readonly trail = this.register(new RingAuditTrail(trailCapacity, () => new Date()));
+	private readonly random = new SeededRandom(randomInt(maxSeed));
+	private readonly auditTrail = this.register(new RingAuditTrail(auditTrailCapacity, () => new Date()));
 	private readonly journal: IRequestJournal;
 	private readonly quarantine = new Quarantine();
 	private readonly metrics: EntryMetrics;
 	private readonly certificates: EntryCertificates;
-	private readonly held: HeldBytes;
+	private readonly heldBytes: HeldBytes;
 	private readonly platform: EntryPlatform;
 	private readonly manifests: ManifestKeeper;
 	private readonly peers: PeerClients;
 	private readonly fleet: EntryFleet;
 	private readonly runners: ServiceRunners;
 	private readonly ownView: OwnView;
-	private readonly runs: ActiveRuns;
+	private readonly activeRuns: ActiveRuns;
 	private readonly sleepDetector: SleepDetector;
 	private readonly startHold: StartHold;
 	private readonly tickets: TicketService;
@@ -84,7 +84,7 @@
 	private readonly peerServer: PeerServer;
 	private readonly operators: OperatorsServer;
 	private readonly ports: readonly IEntryPort[];
-	private stopping: Promise<void> | undefined;
+	private stopPromise: Promise<void> | undefined;
 
 	constructor(
 		private readonly settings: EntrySettings,
@@ -96,13 +96,13 @@
 		const { id, region, zone } = settings.instance;
 		this.journal = this.createJournal();
 		this.metrics = new EntryMetrics({ version: programVersion, instance: id, region, zone });
-		this.certificates = this.register(new EntryCertificates(settings, this.trail, this.metrics));
-		this.held = new HeldBytes(settings.limits.max_held_bytes);
+		this.certificates = this.register(new EntryCertificates(settings, this.auditTrail, this.metrics));
+		this.heldBytes = new HeldBytes(settings.limits.max_held_bytes);
 		this.manifests = this.register(
 			new ManifestKeeper(
-				this.trail,
+				this.auditTrail,
 				state => {
-					this.metrics.noteManifest(describeOfferState(state));
+					this.metrics.noteManifest(getManifestResult(state));
 				},
 				this.timers,
 			),
@@ -111,11 +111,11 @@
 		this.fleet = this.register(
 			new EntryFleet(
 				{ id, region, zone, peerUrl: settings.peers.url, seeds: settings.peers.seeds },
-				() => this.ownView.describe(),
+				() => this.ownView.createView(),
 				this.peers,
 				this.timers,
 				this.random,
-				this.trail,
+				this.auditTrail,
 			),
 		);
 		this.platform = this.openPlatform();
@@ -124,7 +124,7 @@
 			new ServiceRunners(
 				this.manifests,
 				targets,
-				() => this.fleet.describeSharing(region),
+				() => this.fleet.getEntrySharing(region),
 				new CrashWatch(
 					this.quarantine,
 					target => targets.probeDeath(target),
@@ -135,15 +135,15 @@
 				this.timers,
 			),
 		);
-		this.ownView = new OwnView(settings, this.boot, {
+		this.ownView = new OwnView(settings, this.bootId, {
 			manifests: this.manifests,
 			targets,
 			runners: this.runners,
 			quarantine: this.quarantine,
 			timers: this.timers,
 		});
-		this.runs = new ActiveRuns(this.journal, this.metrics, this.held, this.timers);
-		this.tickets = createTicketService(settings, this.boot, this.fleet);
+		this.activeRuns = new ActiveRuns(this.journal, this.metrics, this.heldBytes, this.timers);
+		this.tickets = createTicketService(settings, this.bootId, this.fleet);
 		this.sleepDetector = this.register(this.createSleepDetector());
 		this.startHold = this.register(this.createStartHold());
 		this.callHandler = this.createCallHandler();
@@ -153,14 +153,14 @@
 		this.callers = new CallerServer(
 			this.callHandler,
 			environment.callers,
-			this.held,
-			{ mostHeadBytes: settings.limits.max_head_bytes, mostBodyBytes: settings.limits.max_body_bytes },
+			this.heldBytes,
+			{ maxHeadBytes: settings.limits.max_head_bytes, maxBodyBytes: settings.limits.max_body_bytes },
 			intake,
 			this.timers,
 		);
 		this.peerServer = new PeerServer(
 			this.callHandler,
-			this.held,
+			this.heldBytes,
 			settings.limits.max_body_bytes,
 			intake,
 			this.timers,
@@ -168,10 +168,10 @@
 		);
 		this.operators = this.register(this.createOperatorsServer(programVersion));
 		this.ports = environment.createPorts(this.callHandler);
-		this.subscribeParts();
+		this.subscribeComponents();
 	}
 
-	/** Opens the ports and starts to follow the platform. */
+	/** Opens the ports and starts to follow the manifest and the instance list. */
 	async start(): Promise<void> {
 		const { settings } = this;
 		const operators = await this.operators.start(settings.operators.listen);
@@ -180,51 +180,51 @@
 		await Promise.all(this.ports.map(port => port.listen()));
 		this.platform.sources.start();
 		void this.fleet.exchangeWithAll();
-		this.recordProcess('stopped', 'started', `boot ${this.boot}`);
+		this.recordProcess('stopped', 'started', `boot ${this.bootId}`);
 		this.logger.info({ callers: callers.port, peers: peers.port, operators: operators.port }, 'listening');
 	}
 
 	/**
-	 * Leaves without cutting off anybody: says so, refuses new work with other entries named, and ends when
-	 * the last request in progress has ended and the grace is over.
+	 * Stops without interrupting requests: announces that this entry is leaving, then refuses new work and names
+	 * other entries instead, and ends when the last active request has ended or the time limit is reached.
 	 */
-	stop(sign: string): Promise<void> {
-		this.stopping ??= this.finishAndEnd(sign);
-		return this.stopping;
+	stop(reason: string): Promise<void> {
+		this.stopPromise ??= this.drainAndClose(reason);
+		return this.stopPromise;
 	}
 
-	private async finishAndEnd(sign: string): Promise<void> {
+	private async drainAndClose(reason: string): Promise<void> {
 		const startedMs = this.timers.getNow();
 		const { refusesMs, endsMs } = this.environment.leaving;
-		this.ownView.setStopping(startedMs + endsMs);
+		this.ownView.setLatestEnd(startedMs + endsMs);
 		const waitUntil = (ms: number): Promise<void> => this.waitFor(startedMs + ms - this.timers.getNow());
-		await this.waitForSuccessor(sign);
+		await this.waitForSuccessor(reason);
 		this.ownView.setLeaving();
-		this.recordProcess('started', 'leaving', sign);
+		this.recordProcess('started', 'leaving', reason);
 		void this.fleet.exchangeWithAll();
-		const takingMs = computeTakingMs(this.environment.leaving, this.timers.getNow() - startedMs);
-		await waitUntil(takingMs);
+		const acceptingMs = computeTakingMs(this.environment.leaving, this.timers.getNow() - startedMs);
+		await waitUntil(acceptingMs);
 		this.ownView.setRefusing();
-		await waitUntil(takingMs + refusesMs);
-		await Promise.race([this.runs.waitForNone(), waitUntil(endsMs)]);
-		const left = this.runs.count();
+		await waitUntil(acceptingMs + refusesMs);
+		await Promise.race([this.activeRuns.waitForNone(), waitUntil(endsMs)]);
+		const unfinished = this.activeRuns.count();
 		const closed = [this.callers, this.peerServer, ...this.ports].map(port => port.close());
 		await Promise.race([Promise.all(closed), waitUntil(endsMs)]);
-		this.recordProcess('leaving', 'stopped', `${left} requests in progress`);
+		this.recordProcess('leaving', 'stopped', `${unfinished} requests in progress`);
 		this.dispose();
 		await Promise.race([this.platform.sources.close(), waitUntil(endsMs)]);
 	}
 
-	/** Ends when another entry of the region takes callers, or when this one can stay no longer. */
-	private async waitForSuccessor(sign: string): Promise<void> {
+	/** Waits until another entry of the region accepts callers, or until this one has to stop anyway. */
+	private async waitForSuccessor(reason: string): Promise<void> {
 		const endsMs = this.timers.getNow() + this.environment.leaving.staysMs;
-		let isTold = false;
+		let isRecorded = false;
 		while (!this.hasSuccessor() && this.timers.getNow() < endsMs) {
-			if (!isTold) {
-				this.recordProcess('started', 'staying', `${sign}, the last of its region`);
-				isTold = true;
+			if (!isRecorded) {
+				this.recordProcess('started', 'staying', `${reason}, the last entry of its region`);
+				isRecorded = true;
 			}
-			await this.waitFor(Math.min(successorCheckMs, endsMs - this.timers.getNow()));
+			await this.waitFor(Math.min(successorCheckIntervalMs, endsMs - this.timers.getNow()));
 		}
 	}
 
@@ -235,7 +235,10 @@
 			.some(entry => entry.region === region && !entry.isLeaving && !entry.isSuspect);
 	}
 
-	/** Never ends for an infinite time. The timer keeps the process alive, since nothing else may do so then. */
+	/**
+	 * Never resolves for an infinite delay. Uses a timer that keeps the process alive, because by then nothing else
+	 * may be keeping it alive.
+	 */
 	private async waitFor(delayMs: number): Promise<void> {
 		await new Promise<void>(resolve => {
 			if (Number.isFinite(delayMs)) {
@@ -251,7 +254,7 @@
 	}
 
 	private openPlatform(): EntryPlatform {
-		const { manifests, fleet, trail, timers, random, logger } = this;
+		const { manifests, fleet, auditTrail: trail, timers, random, logger } = this;
 		const platform = this.environment.openPlatform({ manifests, fleet, trail, timers, random, logger });
 		this.register(platform.targets);
 		this.register(platform.sources);
@@ -268,10 +271,10 @@
 		};
 	}
 
-	private subscribeParts(): void {
+	private subscribeComponents(): void {
 		this.register(
 			new EntryTelemetry(this.metrics, {
-				trail: this.trail,
+				trail: this.auditTrail,
 				sources: this.platform.sources,
 				manifests: this.manifests,
 				targets: this.platform.targets,
@@ -279,13 +282,13 @@
 				runners: this.runners,
 				tickets: this.tickets,
 				callHandler: this.callHandler,
-				held: this.held,
+				heldBytes: this.heldBytes,
 				timers: this.timers,
 			}),
 		);
-		this.register(writeAuditLines(this.logger, this.trail));
+		this.register(writeAuditLines(this.logger, this.auditTrail));
 		this.register(
-			new PeerFollowing({
+			new PeerViewListener({
 				region: this.settings.instance.region,
 				manifests: this.manifests,
 				targets: this.platform.targets,
@@ -297,43 +300,46 @@
 		this.register(
 			subscribeTo(this.manifests.onDidAccept, ({ manifest }) => {
 				this.callers.setLimits(this.createCallerLimits(manifest.callerLimits));
-				// A view made before the first manifest tells of no room, and peers would send nothing here.
+				// Views sent before the first manifest report no capacity, so peers would not forward requests here.
 				void this.fleet.exchangeWithAll();
 			}),
 		);
 		this.register(
-			subscribeTo(this.fleet.getLives().onDidChange, () => {
+			subscribeTo(this.fleet.getLifecycles().onDidChange, () => {
 				this.runners.updateAll();
 			}),
 		);
 		this.register(
-			subscribeTo(this.timers.watchTicks(housekeepingMs), ({ nowMs }) => {
+			subscribeTo(this.timers.watchTicks(quarantineExpiryIntervalMs), ({ nowMs }) => {
 				this.quarantine.expire(nowMs);
 			}),
 		);
 	}
 
-	/** What the manifest says of callers goes before the settings, but heads never get larger than these allow. */
-	private createCallerLimits(told: ManifestCallerLimits | undefined): CallerLimits {
-		const { max_head_bytes: mostHeadBytes, max_body_bytes: mostBodyBytes } = this.settings.limits;
-		if (told === undefined) {
-			return { mostHeadBytes, mostBodyBytes };
+	/**
+	 * The limits in the manifest override those in the settings. The maximum head size can only be lowered, since
+	 * the HTTP server was created with the size from the settings.
+	 */
+	private createCallerLimits(manifestLimits: ManifestCallerLimits | undefined): CallerLimits {
+		const { max_head_bytes: maxHeadBytes, max_body_bytes: maxBodyBytes } = this.settings.limits;
+		if (manifestLimits === undefined) {
+			return { maxHeadBytes, maxBodyBytes };
 		}
 		return {
-			mostHeadBytes: Math.min(mostHeadBytes, told.headBytes),
-			mostBodyBytes: told.bodyBytes,
-			headTimeoutMs: told.headTimeoutMs,
-			idleTimeoutMs: told.idleTimeoutMs,
+			maxHeadBytes: Math.min(maxHeadBytes, manifestLimits.headBytes),
+			maxBodyBytes: manifestLimits.bodyBytes,
+			headTimeoutMs: manifestLimits.headTimeoutMs,
+			idleTimeoutMs: manifestLimits.idleTimeoutMs,
 		};
 	}
 
-	private recordProcess(from: string, to: string, sign: string): void {
-		this.trail.record({
+	private recordProcess(from: string, to: string, reason: string): void {
+		this.auditTrail.record({
 			kind: AuditKind.Process,
 			subject: this.settings.instance.id,
 			from,
 			to,
-			sign,
+			sign: reason,
 			manifestVersion: this.manifests.getCurrent()?.accepted.version,
 		});
 	}
@@ -342,10 +348,10 @@
 		return new SleepDetector(
 			async () => {
 				const { sources } = this.platform;
-				await Promise.all([sources.readManifestAnew(), this.fleet.exchangeWithAll()]);
+				await Promise.all([sources.refreshManifest(), this.fleet.exchangeWithAll()]);
 			},
 			sleptMs => {
-				this.recordProcess('asleep', 'awake', `no beat for ${Math.round(sleptMs)} ms`);
+				this.recordProcess('asleep', 'awake', `no clock check for ${Math.round(sleptMs)} ms`);
 			},
 			this.timers,
 		);
@@ -360,18 +366,18 @@
 	}
 
 	private createCallHandler(): CallHandler {
-		const surroundings = new RouterSurroundings(
+		const context = new RouterSurroundings(
 			this.settings.instance,
 			this.manifests,
 			this.runners,
 			this.platform.targets,
 			this.fleet,
-			this.runs,
+			this.activeRuns,
 			this.metrics,
 		);
-		const router = new RequestRouter(surroundings, this.tickets, this.timers);
+		const router = new RequestRouter(context, this.tickets, this.timers);
 		return new CallHandler(
-			{ ...this.settings.instance, boot: this.boot },
+			{ ...this.settings.instance, boot: this.bootId },
 			this.environment.callers,
 			this.manifests,
 			this.fleet,
@@ -379,7 +385,7 @@
 			{ findHold: () => this.sleepDetector.findHold() ?? this.startHold.findHold() },
 			this.tickets,
 			router,
-			this.runs,
+			this.activeRuns,
 			this.platform.sources,
 			this.metrics,
 			this.timers,
@@ -389,7 +395,7 @@
 
 	private createOperatorsServer(programVersion: string): OperatorsServer {
 		const source = new EntryOperatorsSource(
-			{ ...this.settings.instance, boot: this.boot, version: programVersion },
+			{ ...this.settings.instance, boot: this.bootId, version: programVersion },
 			this.settings.limits.max_held_bytes,
 			{
 				manifests: this.manifests,
@@ -398,8 +404,8 @@
 				runners: this.runners,
 				callHandler: this.callHandler,
 				tickets: this.tickets,
-				held: this.held,
-				trail: this.trail,
+				heldBytes: this.heldBytes,
+				trail: this.auditTrail,
 				journal: this.journal,
 				getPlatformSilenceMs: () => this.platform.sources.getPlatformSilenceMs(),
 				timers: this.timers,
--- a/src/entry/node/entryCertificates.ts
+++ b/src/entry/node/entryCertificates.ts
@@ -1,5 +1,5 @@
 /**
- * The certificates of an entry's ports, as its settings say: which port uses them, and their renewal at
+ * Loads the TLS certificates of an entry's ports, decides by the settings which ports use them, and reloads them on
  * SIGHUP.
  */
 
@@ -12,12 +12,12 @@
 import { formatCertificateFault } from '../../core/tls/common/certificates';
 import { CertificateStore, watchHangup } from '../../core/tls/node/certificateStore';
 
-/** Certificates by port; undefined where a port is plain. */
+/** Certificates by port; undefined where a port uses plain HTTP. */
 export class EntryCertificates extends Disposable {
 	readonly peers: CertificateStore | undefined;
 	readonly operators: CertificateStore | undefined;
 
-	/** Throws where the settings name certificates that cannot be used. */
+	/** Throws if the settings name certificates that cannot be used. */
 	constructor(settings: EntrySettings, trail: IAuditTrail, metrics: EntryMetrics) {
 		super();
 		const store = this.openStore(settings, trail);
--- a/src/entry/node/entryTelemetry.ts
+++ b/src/entry/node/entryTelemetry.ts
@@ -1,6 +1,6 @@
 /**
- * Feeds the metrics of one entry from its parts: what happens is counted as it happens, what stands is
- * looked at once a second.
+ * Updates the metrics of one entry from its components. Counters follow events as they occur; gauges are sampled
+ * once a second.
  */
 
 import { subscribeTo } from '../../base/common/channel';
@@ -14,15 +14,15 @@
 import type { HeldBytes } from './callers/bodyReader';
 import type { EntryFleet } from './fleet/entryFleet';
 import type { ManifestKeeper } from './manifest/manifestKeeper';
-import { countPeers } from './operatorsSource';
+import { countPeersByState } from './operatorsSource';
 import type { ServiceRunners } from './requests/serviceRunners';
 import type { ITargetRegistry } from './targets/targetDirectory';
 import type { TicketService } from './tickets/ticketService';
 
-const gaugesMs = 1_000;
+const gaugeIntervalMs = 1_000;
 
-/** The parts that are looked at. */
-export interface TelemetryParts {
+/** The components whose events and state are measured. */
+export interface TelemetryComponents {
 	readonly trail: IAuditTrail;
 	readonly sources: Pick<IEntrySources, 'onDidEndRead'>;
 	readonly manifests: ManifestKeeper;
@@ -31,56 +31,56 @@
 	readonly runners: ServiceRunners;
 	readonly tickets: TicketService;
 	readonly callHandler: CallHandler;
-	readonly held: HeldBytes;
+	readonly heldBytes: HeldBytes;
 	readonly timers: ITimerService;
 }
 
-/** Keeps the metrics fed until disposed of. */
+/** Updates the metrics until it is disposed of. */
 export class EntryTelemetry extends Disposable {
 	constructor(
 		private readonly metrics: EntryMetrics,
-		private readonly parts: TelemetryParts,
+		private readonly components: TelemetryComponents,
 	) {
 		super();
 		this.register(
-			subscribeTo(parts.trail.onDidRecord, record => {
+			subscribeTo(components.trail.onDidRecord, record => {
 				metrics.noteAuditRecord(record.kind);
 			}),
 		);
 		this.register(
-			subscribeTo(parts.sources.onDidEndRead, ({ kind, result }) => {
+			subscribeTo(components.sources.onDidEndRead, ({ kind, result }) => {
 				metrics.notePlatformRead(kind, result);
 			}),
 		);
 		this.register(
-			subscribeTo(parts.manifests.onDidAccept, ({ version, manifest }) => {
+			subscribeTo(components.manifests.onDidAccept, ({ version, manifest }) => {
 				metrics.setManifestVersion(version);
 				metrics.setServices(manifest.services.map(service => service.name));
 			}),
 		);
 		this.register(
-			subscribeTo(parts.timers.watchTicks(gaugesMs), () => {
+			subscribeTo(components.timers.watchTicks(gaugeIntervalMs), () => {
 				this.setGauges();
 			}),
 		);
 	}
 
 	private setGauges(): void {
-		const { held, tickets, callHandler, fleet, runners, targets } = this.parts;
-		this.metrics.setHeldBytes(held.getHeld());
-		this.metrics.setTicketsOutstanding(tickets.countSpent());
+		const { heldBytes, tickets, callHandler, fleet, runners, targets } = this.components;
+		this.metrics.setHeldBytes(heldBytes.getTotal());
+		this.metrics.setTicketsOutstanding(tickets.countUsedTickets());
 		this.metrics.setReady(callHandler.getReadiness().isReady);
 		this.metrics.setLeaving(callHandler.isLeaving());
-		this.metrics.setPeers(countPeers(fleet));
+		this.metrics.setPeers(countPeersByState(fleet));
 		for (const service of runners.listServices()) {
 			const room = runners.getRunner(service).measureRoom();
-			this.metrics.setService(service, { ...room, targetsByState: countStates(targets, service) });
+			this.metrics.setService(service, { ...room, targetsByState: countTargetsByState(targets, service) });
 		}
 	}
 }
 
-/** Targets of a service by their state. */
-function countStates(targets: ITargetRegistry, service: ServiceName): Map<string, number> {
+/** Counts the targets of a service by their state. */
+function countTargetsByState(targets: ITargetRegistry, service: ServiceName): Map<string, number> {
 	const counts = new Map<string, number>();
 	for (const { state } of targets.listDescribed(service)) {
 		counts.set(state, (counts.get(state) ?? 0) + 1);
--- a/src/entry/node/environment/entryEnvironment.ts
+++ b/src/entry/node/environment/entryEnvironment.ts
@@ -1,6 +1,6 @@
 /**
- * What surrounds an entry: how callers and targets are spoken to, where the manifest and the targets come
- * from, and which policies decide. An entry is the same in each of them; they differ in what is around it.
+ * Defines what differs between deployments of an entry: the protocols towards callers and targets, the sources of the
+ * manifest and the targets, and the scheduling policies. All other components of an entry are the same everywhere.
  */
 
 import type { Stream } from 'most';
@@ -20,34 +20,34 @@
 import type { ManifestKeeper } from '../manifest/manifestKeeper';
 import type { ITargetRegistry } from '../targets/targetDirectory';
 
-/** Where an entry's manifest and targets come from. */
+/** Sources of an entry's manifest and targets. */
 export interface IEntrySources extends IDisposable {
-	/** The end of each read. */
+	/** Emits when a read from the platform ends. */
 	readonly onDidEndRead: Stream<PlatformReadEnd>;
 	start(): void;
-	/** Why the entry cannot serve yet for want of what is read here; empty where it can. */
+	/** Lists the reasons why the state read from these sources is not sufficient to serve yet; empty if it is. */
 	listMissing(): readonly string[];
-	/** Asks for the newest manifest without waiting for one to come. */
-	readManifestAnew(): Promise<void>;
-	/** Milliseconds since the platform last answered, or undefined where it never did. */
+	/** Requests the latest manifest now instead of waiting for the next update. */
+	refreshManifest(): Promise<void>;
+	/** Milliseconds since the platform last answered; undefined if it never has. */
 	getPlatformSilenceMs(): number | undefined;
 	close(): Promise<void>;
 }
 
-/** A port of its own beside those of callers, peers and operators. */
+/** A port in addition to those for callers, peers and operators. */
 export interface IEntryPort {
 	listen(): Promise<void>;
 	close(): Promise<void>;
 }
 
-/** The platform as one entry meets it. */
+/** The targets and sources that an environment provides. */
 export interface EntryPlatform {
 	readonly targets: ITargetRegistry;
 	readonly sources: IEntrySources;
 }
 
-/** What the platform's side of an entry is made of. */
-export interface PlatformParts {
+/** The components of the entry that are needed to create its targets and sources. */
+export interface PlatformComponents {
 	readonly manifests: ManifestKeeper;
 	readonly fleet: EntryFleet;
 	readonly trail: IAuditTrail;
@@ -56,20 +56,20 @@
 	readonly logger: Logger;
 }
 
-/** What a scheduler is made of. */
-export interface SchedulerParts {
+/** What an environment needs to create a scheduler. */
+export interface SchedulerOptions {
 	readonly random: IRandom;
-	/** Live entries of the fleet, this one included. */
+	/** Counts the live entries of the fleet, including this one. */
 	readonly countEntries: () => number;
 }
 
-/** One kind of surroundings. */
+/** Creates the components that depend on the deployment. */
 export interface IEntryEnvironment {
 	readonly callers: ICallerDialect;
 	readonly targets: ITargetDialect;
 	readonly leaving: LeavingTimes;
-	openPlatform(parts: PlatformParts): EntryPlatform;
-	createScheduler(parts: SchedulerParts): IServiceScheduler;
+	openPlatform(components: PlatformComponents): EntryPlatform;
+	createScheduler(options: SchedulerOptions): IServiceScheduler;
 	createSendAway(random: IRandom): ISendAwayPolicy;
 	createPorts(handler: CallHandler): readonly IEntryPort[];
 }
--- a/src/entry/node/environment/ownEnvironment.ts
+++ b/src/entry/node/environment/nativeEnvironment.ts
@@ -1,5 +1,5 @@
 /**
- * The product's own interfaces on every side.
+ * The environment that uses this project's native protocols towards callers, targets and the platform.
  */
 
 import type { IRandom } from '../../../base/common/random';
@@ -15,15 +15,15 @@
 	EntryPlatform,
 	IEntryEnvironment,
 	IEntryPort,
-	PlatformParts,
-	SchedulerParts,
+	PlatformComponents,
+	SchedulerOptions,
 } from './entryEnvironment';
-import { OwnSources } from './ownSources';
+import { NativeSources } from './nativeSources';
 
-/** A manifest is to be in force at all entries within nine seconds. */
-const usualNewsWithinMs = 9_000;
+/** A new manifest must be active on all entries within nine seconds. */
+const defaultNewsWithinMs = 9_000;
 
-export class OwnEnvironment implements IEntryEnvironment {
+export class NativeEnvironment implements IEntryEnvironment {
 	readonly callers = new OwnCallerDialect();
 	readonly targets = new OwnTargetDialect();
 	readonly leaving: LeavingTimes;
@@ -32,14 +32,14 @@
 		this.leaving = planLeaving(settings.leaving.killed_after_s);
 	}
 
-	openPlatform(parts: PlatformParts): EntryPlatform {
+	openPlatform(components: PlatformComponents): EntryPlatform {
 		const { region, zone } = this.settings.instance;
-		const targets = new TargetRegistry({ region, zone }, parts.trail, parts.timers);
-		const { url, news_within_ms: newsWithinMs = usualNewsWithinMs } = this.settings.platform;
-		return { targets, sources: new OwnSources(url, newsWithinMs, { ...parts, targets }) };
+		const targets = new TargetRegistry({ region, zone }, components.trail, components.timers);
+		const { url, news_within_ms: newsWithinMs = defaultNewsWithinMs } = this.settings.platform;
+		return { targets, sources: new NativeSources(url, newsWithinMs, { ...components, targets }) };
 	}
 
-	createScheduler({ random }: SchedulerParts): ServiceScheduler {
+	createScheduler({ random }: SchedulerOptions): ServiceScheduler {
 		return new ServiceScheduler(random);
 	}
 
@@ -47,7 +47,7 @@
 		return new SendAwayPolicy(random);
 	}
 
-	/** Lookups share the callers' port. */
+	/** No additional ports: lookups are served on the callers' port. */
 	createPorts(): readonly IEntryPort[] {
 		return [];
 	}
--- a/src/entry/node/environment/ownSources.ts
+++ b/src/entry/node/environment/nativeSources.ts
@@ -1,5 +1,5 @@
 /**
- * The manifest and the instance list as the product's own platform interface gives them.
+ * Reads the manifest and the instance list over the native platform protocol.
  */
 
 import type { Stream } from 'most';
@@ -20,11 +20,11 @@
 import type { TargetRegistry } from '../targets/targetRegistry';
 import type { IEntrySources } from './entryEnvironment';
 
-/** After a sleep the platform is asked at once, and not waited for longer than this. */
-const refreshMs = 1_000;
+/** Timeout of the manifest read after a suspension of the process. */
+const refreshTimeoutMs = 1_000;
 
-/** The parts that are told. */
-export interface OwnSourceParts {
+/** The components that are updated, and those needed for reading. */
+export interface NativeSourcesComponents {
 	readonly manifests: ManifestKeeper;
 	readonly targets: TargetRegistry;
 	readonly fleet: EntryFleet;
@@ -32,23 +32,23 @@
 	readonly random: IRandom;
 }
 
-/** Follows until disposed of. */
-export class OwnSources extends Disposable implements IEntrySources {
+/** Follows the manifest and the instance list until it is disposed of. */
+export class NativeSources extends Disposable implements IEntrySources {
 	private readonly platform: HttpPlatformClient;
 	private readonly manifestFollower: PlatformFollower<PlatformDocument>;
 	private readonly instanceFollower: PlatformFollower<VersionedInstanceList>;
 
 	readonly onDidEndRead: Stream<PlatformReadEnd>;
 
-	/** @param newsWithinMs By how many milliseconds a version may be late once the platform answers. */
+	/** @param newsWithinMs Maximum delay, in milliseconds, of a new version while the platform answers. */
 	constructor(
 		url: string,
 		newsWithinMs: number,
-		private readonly parts: OwnSourceParts,
+		private readonly components: NativeSourcesComponents,
 	) {
 		super();
 		const platform = new HttpPlatformClient(url, planWatch(newsWithinMs).answerMs);
-		const { manifests, fleet, targets, timers, random } = parts;
+		const { manifests, fleet, targets, timers, random } = components;
 		this.platform = platform;
 		this.onDidEndRead = platform.onDidEndRead;
 		this.manifestFollower = this.register(
@@ -85,7 +85,7 @@
 		void this.instanceFollower.follow();
 	}
 
-	/** The manifest alone is enough to serve. */
+	/** Always empty, because the manifest is sufficient to serve requests. */
 	listMissing(): readonly string[] {
 		return [];
 	}
@@ -94,9 +94,9 @@
 		return this.manifestFollower.getSilenceMs();
 	}
 
-	async readManifestAnew(): Promise<void> {
-		const { manifests } = this.parts;
-		const signal = AbortSignal.timeout(refreshMs);
+	async refreshManifest(): Promise<void> {
+		const { manifests } = this.components;
+		const signal = AbortSignal.timeout(refreshTimeoutMs);
 		const read = await this.platform.readManifest(manifests.getVersion(), 0, signal);
 		if (read.isOk() && read.value !== undefined) {
 			manifests.takeFromPlatform(read.value);
--- a/src/entry/node/fleet/entryFleet.ts
+++ b/src/entry/node/fleet/entryFleet.ts
@@ -1,7 +1,7 @@
 /**
- * The other entries: heartbeats with them, what is held of them, and who may be named to callers. What is
- * held and with whom to exchange is decided in `entry/common/fleetView`; here the decisions meet the
- * network, the instance list and the lives of the instances.
+ * Tracks the other entries: exchanges views with them as heartbeats, stores their views, and lists the entries that
+ * may be named to callers. `entry/common/fleetView` decides which views to keep and which peers to exchange with;
+ * this module connects those decisions to the network, the instance list and the instance lifecycles.
  */
 
 import type { Stream } from 'most';
@@ -26,25 +26,25 @@
 import type { IEntryDirectory, KnownEntry } from '../../common/tickets/ticketRoute';
 import type { PeerClients, PeerConnection } from '../peers/peerClients';
 import type { EntrySharing } from '../targets/targetDirectory';
-import type { ExchangeContact } from './contacts';
-import { Contacts } from './contacts';
+import type { ExchangeContact } from './peerContacts';
+import { PeerContacts } from './peerContacts';
 import { FleetSilenceLimits } from './fleetSilenceLimits';
 import { decodeView, encodeView } from './viewCodec';
 
-/** What this entry says of itself at present. */
-export type DescribeSelf = () => EntryView;
+/** Creates the current view of this entry. */
+export type CreateOwnView = () => EntryView;
 
-/** Where this entry stands among the others. */
-export interface FleetPlace {
+/** Identity, location and addresses of this entry. */
+export interface LocalEntry {
 	readonly id: InstanceId;
 	readonly region: RegionName;
 	readonly zone: ZoneName;
 	readonly peerUrl: string;
-	/** Peers to ask before others are known. */
+	/** Addresses of peers to contact while no others are known. */
 	readonly seeds: readonly string[];
 }
 
-/** An entry that a lookup can name, with the address that callers use. */
+/** An entry that a lookup can return, with the address for callers. */
 export interface LookupCandidate extends LookupEntry {
 	readonly callerUrl: string;
 }
@@ -52,89 +52,89 @@
 const { periodMs } = defaultFleetViewFigures;
 const exchangeTimeoutMs = 2_000;
 
-/** Holds what is known of the other entries. */
+/** Exchanges views with the other entries and provides their state. */
 export class EntryFleet extends Disposable implements IEntryDirectory {
-	private readonly views: FleetView;
-	private readonly plan: ExchangePlan;
-	private readonly contacts: Contacts;
-	private readonly lives: InstanceLives;
-	private readonly received = this.register(new Channel<EntryView>());
+	private readonly fleetView: FleetView;
+	private readonly exchangePlan: ExchangePlan;
+	private readonly contacts: PeerContacts;
+	private readonly lifecycles: InstanceLives;
+	private readonly viewReceived = this.register(new Channel<EntryView>());
 
-	/** Each view that is newer than what was held, with the age that it had when it arrived. */
-	readonly onDidReceive: Stream<EntryView> = this.received.stream;
+	/** Emits each view that is newer than the stored one, with its age on arrival. */
+	readonly onDidReceive: Stream<EntryView> = this.viewReceived.stream;
 
 	constructor(
-		private readonly place: FleetPlace,
-		private readonly describeSelf: DescribeSelf,
+		private readonly localEntry: LocalEntry,
+		private readonly createOwnView: CreateOwnView,
 		private readonly peers: PeerClients,
 		private readonly timers: ITimerService,
 		random: IRandom,
 		auditTrail: IAuditTrail,
 	) {
 		super();
-		this.views = new FleetView(place.id);
-		this.plan = new ExchangePlan(place, this.views, random);
-		this.contacts = new Contacts(place, this.views, this.plan, random);
-		this.lives = this.register(new InstanceLives(auditTrail, new FleetSilenceLimits(this.views)));
+		this.fleetView = new FleetView(localEntry.id);
+		this.exchangePlan = new ExchangePlan(localEntry, this.fleetView, random);
+		this.contacts = new PeerContacts(localEntry, this.fleetView, this.exchangePlan, random);
+		this.lifecycles = this.register(new InstanceLives(auditTrail, new FleetSilenceLimits(this.fleetView)));
 		this.register(
 			subscribeTo(timers.watchTicks(periodMs), ({ nowMs, elapsedMs }) => {
 				this.noteOwnSleep(Math.max(0, elapsedMs - periodMs));
 				this.expire(nowMs);
-				this.exchangeWithSome(nowMs);
+				this.exchangeWithPicked(nowMs);
 			}),
 		);
 	}
 
-	getLives(): InstanceLives {
-		return this.lives;
+	getLifecycles(): InstanceLives {
+		return this.lifecycles;
 	}
 
 	setInstanceList(list: InstanceList): void {
-		this.contacts.setListed(list.instances);
+		this.contacts.setListedInstances(list.instances);
 		for (const { id, state } of list.instances) {
 			if (state === ListedState.Leaving) {
-				this.lives.noteListedLeaving(id);
+				this.lifecycles.noteListedLeaving(id);
 			} else {
-				this.lives.noteListedLive(id);
+				this.lifecycles.noteListedLive(id);
 			}
 		}
 	}
 
-	/** Views that arrived, and the answer to them. */
+	/** Merges views received from a peer, and returns the views to answer with. */
 	receiveViews(messages: readonly WireView[]): WireView[] {
 		const views = messages.map(decodeView);
 		const sender = views[0]?.instance;
-		this.receive(views, sender ?? 'unknown');
+		this.mergeViews(views, sender ?? 'unknown');
 		return this.listViewsFor(sender);
 	}
 
-	/** Tells everybody at once, as when this entry begins to leave. */
+	/** Exchanges views with all contacts immediately, for example when this entry starts to leave. */
 	async exchangeWithAll(): Promise<void> {
 		const contacts = this.contacts.listAll(this.timers.getNow());
 		await Promise.all(contacts.map(contact => this.exchangeWith(contact)));
 	}
 
-	/** Tells the live entries of a region at once what this entry's view says. */
+	/** Exchanges views with the live entries of a region immediately. */
 	async exchangeWithRegion(region: RegionName): Promise<void> {
-		const near = this.listLiveViews(view => view.region === region);
+		const regionPeers = this.listLiveViews(view => view.region === region);
 		await Promise.all(
-			near.map(({ view }) => this.exchangeWith({ instance: view.instance, peerUrl: view.peerUrl })),
+			regionPeers.map(({ view }) => this.exchangeWith({ instance: view.instance, peerUrl: view.peerUrl })),
 		);
 	}
 
-	/** All views held, with their present age. */
+	/** Lists all stored views with their current age. */
 	listViews(): readonly KnownInstance[] {
-		return this.views.list(this.timers.getNow());
+		return this.fleetView.list(this.timers.getNow());
 	}
 
-	/** The entries that a lookup may name, this one not among them; `service` chooses the room told. */
+	/** Lists the entries that a lookup may return, except this one, with their free capacity for `service`. */
 	listCandidates(service: ServiceName | undefined): readonly LookupCandidate[] {
-		const heard = this.listViews().map(known => this.createCandidate(known, service));
-		return [...heard, ...this.contacts.listSilent().map(createListedCandidate)];
+		const withView = this.listViews().map(known => this.createCandidate(known, service));
+		return [...withView, ...this.contacts.listWithoutView().map(createListedCandidate)];
 	}
 
 	findEntry(instance: InstanceId): KnownEntry | undefined {
-		const view = this.views.find(instance, this.timers.getNow())?.view;
+		const view = this.fleetView.find(instance, this.timers.getNow())?.view;
 		return view === undefined ? undefined : { own: { instance, boot: view.bootId }, region: view.region };
 	}
 
@@ -143,31 +143,31 @@
 		return url === undefined ? undefined : this.peers.open(url);
 	}
 
-	/** Entries that live and are wanted, with the age of what they say. */
-	listLiveViews(isWanted: (view: EntryView) => boolean): readonly KnownInstance[] {
-		return this.listViews().filter(known => isWanted(known.view) && this.isLive(known));
+	/** Lists the live entries that match a filter, with the age of their views. */
+	listLiveViews(isIncluded: (view: EntryView) => boolean): readonly KnownInstance[] {
+		return this.listViews().filter(known => isIncluded(known.view) && this.isLive(known));
 	}
 
 	/**
-	 * Live entries of a region, this one included where it stands there. Those that the instance list names
-	 * and that have not spoken yet count: an entry that has just started hears of the others one by one, and
-	 * would take too large a part of the targets for itself until it has heard of all.
+	 * Counts the live entries of a region, including this one if it belongs to the region. Listed instances without a
+	 * view are counted too: a newly started entry receives the views of the others one by one, and would otherwise
+	 * use too large a share of the targets until it has received all of them.
 	 */
 	countLive(region: RegionName, ownRegion: RegionName): number {
-		return this.listOthers(region).length + (region === ownRegion ? 1 : 0);
+		return this.listOtherLiveEntries(region).length + (region === ownRegion ? 1 : 0);
 	}
 
-	/** How the live entries of this one's region share its targets. */
-	describeSharing(ownRegion: RegionName): EntrySharing {
-		const others = this.listOthers(ownRegion);
-		const place = others.filter(instance => instance < this.place.id).length;
+	/** How the live entries of this entry's region share its targets: their number, and the index of this entry. */
+	getEntrySharing(ownRegion: RegionName): EntrySharing {
+		const others = this.listOtherLiveEntries(ownRegion);
+		const place = others.filter(instance => instance < this.localEntry.id).length;
 		return { entries: others.length + 1, place };
 	}
 
-	private listOthers(region: RegionName): InstanceId[] {
-		const heard = this.listLiveViews(view => view.region === region).map(({ view }) => view.instance);
-		const silent = this.contacts.listSilent().filter(listed => listed.region === region);
-		return [...heard, ...silent.map(({ id }) => id)];
+	private listOtherLiveEntries(region: RegionName): InstanceId[] {
+		const withView = this.listLiveViews(view => view.region === region).map(({ view }) => view.instance);
+		const withoutView = this.contacts.listWithoutView().filter(listed => listed.region === region);
+		return [...withView, ...withoutView.map(({ id }) => id)];
 	}
 
 	private isLive({ view, isSuspect }: KnownInstance): boolean {
@@ -175,7 +175,7 @@
 	}
 
 	private findState(view: EntryView): InstanceState {
-		return this.lives.findBoot(view.bootId)?.life.getState() ?? InstanceState.Gone;
+		return this.lifecycles.findBoot(view.bootId)?.life.getState() ?? InstanceState.Gone;
 	}
 
 	private createCandidate(known: KnownInstance, service: ServiceName | undefined): LookupCandidate {
@@ -193,28 +193,32 @@
 		};
 	}
 
-	private receive(views: readonly EntryView[], from: string): void {
+	private mergeViews(views: readonly EntryView[], source: string): void {
 		const nowMs = this.timers.getNow();
-		for (const view of this.views.merge(views, nowMs)) {
+		for (const view of this.fleetView.merge(views, nowMs)) {
 			const { instance, bootId, peerUrl, isLeaving, ageMs } = view;
-			this.lives.noteHeard({ instance, boot: bootId, peerUrl, isLeaving, ageMs }, `peer ${from}`, nowMs);
-			this.received.emit(view);
+			this.lifecycles.noteHeard(
+				{ instance, boot: bootId, peerUrl, isLeaving, ageMs },
+				`peer ${source}`,
+				nowMs,
+			);
+			this.viewReceived.emit(view);
 		}
 	}
 
-	/** What was not heard while this process slept is no silence of the others. */
+	/** Does not count time that this process was suspended as silence of the other entries. */
 	private noteOwnSleep(sleptMs: number): void {
-		this.views.noteOwnSleep(sleptMs);
-		this.lives.noteOwnSleep(sleptMs);
+		this.fleetView.noteOwnSleep(sleptMs);
+		this.lifecycles.noteOwnSleep(sleptMs);
 	}
 
 	private expire(nowMs: number): void {
-		this.lives.expire(nowMs);
-		this.views.expire(nowMs);
-		this.peers.closeOthers(new Set(this.contacts.listAll(nowMs).map(({ peerUrl }) => peerUrl)));
+		this.lifecycles.expire(nowMs);
+		this.fleetView.expire(nowMs);
+		this.peers.closeAbsent(new Set(this.contacts.listAll(nowMs).map(({ peerUrl }) => peerUrl)));
 	}
 
-	private exchangeWithSome(nowMs: number): void {
+	private exchangeWithPicked(nowMs: number): void {
 		for (const contact of this.contacts.pick(nowMs)) {
 			void this.exchangeWith(contact);
 		}
@@ -226,22 +230,22 @@
 				.open(peerUrl)
 				.client.exchangeViews({ views: this.listViewsFor(instance) }, { timeoutMs: exchangeTimeoutMs });
 			const views = answer.views.map(decodeView);
-			this.receive(views, views[0]?.instance ?? peerUrl);
-			this.noteExchange(instance, true);
+			this.mergeViews(views, views[0]?.instance ?? peerUrl);
+			this.recordExchange(instance, true);
 		} catch {
-			// Failures in a row make it suspected; its views that others pass on make it trusted again.
-			this.noteExchange(instance, false);
+			// Consecutive failures mark the peer as suspect; newer views of it relayed by other peers clear that.
+			this.recordExchange(instance, false);
 		}
 	}
 
-	private noteExchange(instance: InstanceId | undefined, isReached: boolean): void {
+	private recordExchange(instance: InstanceId | undefined, isSuccessful: boolean): void {
 		if (instance !== undefined) {
-			this.views.noteExchange(instance, isReached);
+			this.fleetView.noteExchange(instance, isSuccessful);
 		}
 	}
 
 	private listViewsFor(peer: InstanceId | undefined): WireView[] {
-		return this.plan.listViews(this.describeSelf(), peer, this.timers.getNow()).map(encodeView);
+		return this.exchangePlan.listViews(this.createOwnView(), peer, this.timers.getNow()).map(encodeView);
 	}
 }
 
--- a/src/entry/node/fleet/fleetSilenceLimits.ts
+++ b/src/entry/node/fleet/fleetSilenceLimits.ts
@@ -1,13 +1,14 @@
 /**
- * How long another entry may be silent. With a fixed budget of bytes a view is renewed more rarely the
- * larger the fleet is; a fixed limit would let a fleet of hundreds suspect its own live members all the
- * time, empty its lookups and give each entry a too large part of the targets.
+ * Provides how long another entry may send no new view before it is suspected, and before it expires. Views are
+ * exchanged with a fixed byte budget, so each view is refreshed less often in a larger fleet. With fixed limits, a
+ * fleet of hundreds would permanently suspect live members, return too few entries in lookups and give each entry too
+ * large a share of the targets.
  */
 
 import type { SilenceLimits } from '../../../core/instances/common/instanceLife';
 import type { FleetView } from '../../common/fleetView/fleetView';
 
-/** Reads the limits off the fleet view each time they are asked. */
+/** Computes the limits from the fleet view on each access. */
 export class FleetSilenceLimits implements SilenceLimits {
 	constructor(private readonly views: FleetView) {}
 
--- a/src/entry/node/fleet/ownView.ts
+++ b/src/entry/node/fleet/ownView.ts
@@ -1,5 +1,5 @@
 /**
- * What this entry says of itself to its peers.
+ * Creates the view of this entry that is sent to its peers.
  */
 
 import type { ITimerService } from '../../../base/common/timerService';
@@ -12,11 +12,11 @@
 import type { ITargetRegistry } from '../targets/targetDirectory';
 import type { LookupCandidate } from './entryFleet';
 
-/** Enough of a digest to tell two documents of one version apart in a view. */
-const digestCharacters = 16;
+/** Length of the manifest digest in a view; sufficient to distinguish two documents with the same version. */
+const digestPrefixLength = 16;
 
-/** The parts that a view tells of. */
-export interface OwnViewParts {
+/** The components whose state is reported in a view. */
+export interface OwnViewComponents {
 	readonly manifests: ManifestKeeper;
 	readonly targets: ITargetRegistry;
 	readonly runners: ServiceRunners;
@@ -24,46 +24,49 @@
 	readonly timers: ITimerService;
 }
 
-/** Makes this entry's view; each one made counts the sequence up. */
+/** Creates this entry's views with increasing sequence numbers, and holds its leaving state. */
 export class OwnView {
 	private sequence = 0;
-	private hasLeft = false;
-	private refuses = false;
-	private endsMs = Number.POSITIVE_INFINITY;
+	private hasStartedLeaving = false;
+	private refusesNewWork = false;
+	private latestEndMs = Number.POSITIVE_INFINITY;
 
 	constructor(
 		private readonly settings: EntrySettings,
-		private readonly boot: BootId,
-		private readonly parts: OwnViewParts,
+		private readonly bootId: BootId,
+		private readonly components: OwnViewComponents,
 	) {}
 
 	isLeaving(): boolean {
-		return this.hasLeft;
+		return this.hasStartedLeaving;
 	}
 
 	setLeaving(): void {
-		this.hasLeft = true;
+		this.hasStartedLeaving = true;
 	}
 
-	/** When this entry ends at the latest, in monotonic milliseconds; infinite while it is not being stopped. */
-	getEndsMs(): number {
-		return this.endsMs;
+	/** Time by which this entry ends, in monotonic milliseconds; infinite until a stop is requested. */
+	getLatestEndMs(): number {
+		return this.latestEndMs;
 	}
 
-	setStopping(endsMs: number): void {
-		this.endsMs = endsMs;
+	setLatestEnd(latestEndMs: number): void {
+		this.latestEndMs = latestEndMs;
 	}
 
-	/** Whether new work is refused; an entry that leaves may serve for a while those who do not know it yet. */
+	/**
+	 * Whether new work is refused. A leaving entry accepts work for some time after announcing that it leaves, because
+	 * the announcement has not reached all callers yet.
+	 */
 	isRefusing(): boolean {
-		return this.refuses;
+		return this.refusesNewWork;
 	}
 
 	setRefusing(): void {
-		this.refuses = true;
+		this.refusesNewWork = true;
 	}
 
-	/** This entry as lookups name it; `service` chooses the room told. */
+	/** Describes this entry as a lookup result, with its free capacity for `service`. */
 	describeCandidate(service: ServiceName | undefined): LookupCandidate {
 		const { instance, callers } = this.settings;
 		return {
@@ -71,29 +74,29 @@
 			region: instance.region,
 			zone: instance.zone,
 			callerUrl: callers.url,
-			isLeaving: this.hasLeft,
+			isLeaving: this.hasStartedLeaving,
 			isSuspect: false,
-			room: service === undefined ? undefined : this.parts.runners.getRunner(service).measureRoom(),
+			room: service === undefined ? undefined : this.components.runners.getRunner(service).measureRoom(),
 			ageMs: 0,
 		};
 	}
 
-	describe(): EntryView {
+	createView(): EntryView {
 		const { instance, callers, peers } = this.settings;
-		const { manifests, targets, runners, quarantine, timers } = this.parts;
+		const { manifests, targets, runners, quarantine, timers } = this.components;
 		const accepted = manifests.getCurrent()?.accepted;
 		this.sequence++;
 		return {
 			instance: instance.id,
-			bootId: this.boot,
+			bootId: this.bootId,
 			sequence: this.sequence,
 			region: instance.region,
 			zone: instance.zone,
 			callerUrl: callers.url,
 			peerUrl: peers.url,
-			isLeaving: this.hasLeft,
+			isLeaving: this.hasStartedLeaving,
 			manifestVersion: accepted?.version ?? (0 as ManifestVersion),
-			manifestDigest: accepted?.digest.slice(0, digestCharacters) ?? '',
+			manifestDigest: accepted?.digest.slice(0, digestPrefixLength) ?? '',
 			ageMs: 0,
 			rooms: runners
 				.listServices()
--- a/src/entry/node/fleet/test/fleet.test.ts
+++ b/src/entry/node/fleet/test/fleet.test.ts
@@ -8,11 +8,11 @@
 import { PeerClients } from '../../peers/peerClients';
 import type { PeerConnection } from '../../peers/peerClients';
 import { EntryFleet } from '../entryFleet';
-import { ManifestFetches } from '../manifestFetches';
+import { ManifestFetcher } from '../manifestFetcher';
 import { decodeView, encodeView } from '../viewCodec';
 import { createView, region } from './views';
 
-/** A fleet whose clock stands still, so that nothing is sent. */
+/** Creates a fleet with a stopped clock, so that it sends nothing. */
 function createFleet(timers = new ManualTimerService()): EntryFleet {
 	const place = {
 		id: 'self' as InstanceId,
@@ -71,7 +71,7 @@
 	.map(fields => createView('entry-2', fields as unknown as Partial<EntryView>));
 
 describe('view codec', () => {
-	it('gives back every field of every view', () => {
+	it('preserves every field of every view', () => {
 		fc.assert(
 			fc.property(anyView, view => {
 				expect(decodeView(encodeView(view))).toEqual(view);
@@ -80,19 +80,19 @@
 		);
 	});
 
-	// An entry without any usable target predicts an infinite wait. A number that the protocol cannot hold
-	// would make each of its exchanges fail, and the others would take a healthy entry for dead.
-	it('bounds what the protocol cannot hold', () => {
+	// An entry without a usable target predicts an infinite wait. If the number were not clamped, encoding would fail
+	// in each of its exchanges, and the other entries would consider a healthy entry down.
+	it('clamps numbers that the protocol cannot represent', () => {
 		const rooms = [{ service: 's', room: { waitMs: Infinity, freeSlots: -0.5, running: 1, queued: 0 } }];
-		const told = encodeView(createView('entry-2', { rooms: rooms as unknown as EntryView['rooms'] }));
-		expect(told.services[0]).toMatchObject({ waitMs: 0xffff_ffff, freeSlots: 0 });
+		const message = encodeView(createView('entry-2', { rooms: rooms as unknown as EntryView['rooms'] }));
+		expect(message.services[0]).toMatchObject({ waitMs: 0xffff_ffff, freeSlots: 0 });
 	});
 });
 
 describe('EntryFleet', () => {
-	// An entry starts into a running fleet and has heard of only one other so far. If it divided the targets
-	// by two, it would send them many times its part of the load until it has heard of everybody.
-	it('divides by the entries that the list names before it has heard of them', () => {
+	// An entry starts in a running fleet and has received only one view so far. If it divided the targets by two, it
+	// would send them many times its share of the load until it has received all views.
+	it('counts listed entries before their views are received', () => {
 		const fleet = createFleet();
 		fleet.receiveViews([encodeView(createView('entry-1'))]);
 		const list = createList([
@@ -106,9 +106,9 @@
 		expect(fleet.listCandidates(undefined).map(({ instance }) => instance)).toEqual(['entry-1', 'entry-2']);
 	});
 
-	// The list lags and names an entry as leaving that was restarted in place. Once the list says live again
-	// and the entry speaks, callers must be sent to it again.
-	it('takes an entry back that the list names as live again', () => {
+	// The instance list is outdated and marks an entry as leaving that was restarted in place. Once it is listed as
+	// live again and sends a view, lookups must return it again.
+	it('lists an entry as usable again once the instance list marks it as live', () => {
 		const timers = new ManualTimerService();
 		const fleet = createFleet(timers);
 		fleet.receiveViews([encodeView(createView('entry-1'))]);
@@ -120,15 +120,15 @@
 		expect(fleet.listCandidates(undefined)[0]).toMatchObject({ isLeaving: false, isSuspect: false });
 	});
 
-	// In a fleet of hundreds each view is renewed only now and then. A limit made for seven entries would
-	// suspect nearly all of them at any time, and lookups would name strangers before neighbours.
-	it('waits longer for a word of each in a large fleet', () => {
+	// In a fleet of hundreds each view is refreshed rarely. A time limit suited to seven entries would suspect nearly
+	// all of them at any time, and lookups would prefer distant entries to near ones.
+	it('allows longer silence in a large fleet', () => {
 		const countLiveAfter = (size: number, silentMs: number): number => {
 			const fleet = createFleet();
 			const views = Array.from({ length: size }, (_, index) => createView(`entry-${index}`));
 			fleet.receiveViews(views.map(encodeView));
-			fleet.getLives().expire(silentMs);
-			return fleet.getLives().listLive().length;
+			fleet.getLifecycles().expire(silentMs);
+			return fleet.getLifecycles().listLive().length;
 		};
 		expect(countLiveAfter(6, 30_000)).toBe(0);
 		expect(countLiveAfter(90, 30_000)).toBe(90);
@@ -136,36 +136,40 @@
 	});
 });
 
-describe('ManifestFetches', () => {
-	function createFetches(): {
-		readonly fetches: ManifestFetches;
+describe('ManifestFetcher', () => {
+	function createFetcher(): {
+		readonly fetcher: ManifestFetcher;
 		readonly asked: InstanceId[];
 		readonly timers: ManualTimerService;
 	} {
 		const timers = new ManualTimerService();
 		const asked: InstanceId[] = [];
-		const takeFromPeer = (instance: InstanceId): Promise<void> => {
+		const fetchFromPeer = (instance: InstanceId): Promise<void> => {
 			asked.push(instance);
 			return new Promise(() => undefined);
 		};
-		return { fetches: new ManifestFetches({ getVersion: () => 3, takeFromPeer }, timers), asked, timers };
+		return {
+			fetcher: new ManifestFetcher({ getVersion: () => 3, fetchFromPeer }, timers),
+			asked,
+			timers,
+		};
 	}
 
-	// A new version shows in many views at once, and the first peer asked for it has gone silent. Asking all
-	// would draw the document many times over; waiting for the silent one would leave the old one in force.
-	it('asks one peer at a time, and another when the first does not answer', () => {
-		const { fetches, asked, timers } = createFetches();
+	// A new version is reported by many views at once, and the first peer asked for it does not answer. Asking all
+	// peers would transfer the document many times; waiting for the first one would keep the old version active.
+	it('asks one peer at a time, and another one if the first does not answer', () => {
+		const { fetcher, asked, timers } = createFetcher();
 		const peer = {} as PeerConnection;
 		for (const [name, version] of [
 			['a', 3],
 			['b', 4],
 			['c', 4],
 		] as const) {
-			void fetches.fetch(name as InstanceId, version as ManifestVersion, peer);
+			void fetcher.fetch(name as InstanceId, version as ManifestVersion, peer);
 		}
 		expect(asked).toEqual(['b']);
 		timers.advance(2_000);
-		void fetches.fetch('c' as InstanceId, 4 as ManifestVersion, peer);
+		void fetcher.fetch('c' as InstanceId, 4 as ManifestVersion, peer);
 		expect(asked).toEqual(['b', 'c']);
 	});
 });
--- a/src/entry/node/fleet/test/contacts.test.ts
+++ b/src/entry/node/fleet/test/peerContacts.test.ts
@@ -2,40 +2,40 @@
 import type { InstanceId, RegionName, ZoneName } from '../../../../core/ids/common/ids';
 import { ExchangePlan } from '../../../common/fleetView/exchangePlan';
 import { FleetView } from '../../../common/fleetView/fleetView';
-import { Contacts } from '../contacts';
+import { PeerContacts } from '../peerContacts';
 import { createView } from './views';
 
 const seed = 'http://gone:2';
 
-function createContacts(views: FleetView): Contacts {
+function createContacts(views: FleetView): PeerContacts {
 	const random = new SeededRandom(7);
 	const place = { region: 'khomas' as RegionName, zone: 'khomas-a' as ZoneName };
 	const own = { id: 'self' as InstanceId, peerUrl: 'http://self:2', seeds: [seed, 'http://entry-1:2'] };
-	return new Contacts(own, views, new ExchangePlan(place, views, random), random);
+	return new PeerContacts(own, views, new ExchangePlan(place, views, random), random);
 }
 
-function countSeedAsks(contacts: Contacts, fromMs: number, periods: number): number {
-	let asks = 0;
+function countSeedContacts(contacts: PeerContacts, fromMs: number, periods: number): number {
+	let count = 0;
 	for (let period = 0; period < periods; period++) {
 		const picked = contacts.pick(fromMs);
-		asks += picked.filter(({ peerUrl }) => peerUrl === seed).length;
+		count += picked.filter(({ peerUrl }) => peerUrl === seed).length;
 	}
-	return asks;
+	return count;
 }
 
 describe('Contacts', () => {
-	// An instance that the settings name was replaced long ago and nobody answers there. Asking it each second
-	// would spend the budget of control on it; never asking it would keep two halves apart for good.
-	it('asks a seed that nobody answers for ever more rarely, and never gives it up', () => {
+	// A seed in the settings was replaced long ago and does not answer. Contacting it every second would waste the
+	// byte budget of the control traffic; never contacting it would make a partition permanent.
+	it('contacts an unanswered seed less and less often, but never stops', () => {
 		const views = new FleetView('self' as InstanceId);
 		views.merge([createView('entry-1')], 0);
 		const contacts = createContacts(views);
-		expect(countSeedAsks(contacts, 0, 200)).toBeLessThan(40);
-		expect(countSeedAsks(contacts, 0, 200)).toBeGreaterThan(0);
+		expect(countSeedContacts(contacts, 0, 200)).toBeLessThan(40);
+		expect(countSeedContacts(contacts, 0, 200)).toBeGreaterThan(0);
 	});
 
-	// All others fell silent, as in a partition: whoever comes back first must be found at once.
-	it('asks the seeds in every period while nobody else lives', () => {
+	// All other entries are silent, as in a partition. The first one that returns must be found immediately.
+	it('contacts a seed in every period while no other instance is live', () => {
 		const contacts = createContacts(new FleetView('self' as InstanceId));
 		const picked = Array.from({ length: 50 }, () => contacts.pick(0).length);
 		expect(new Set(picked)).toEqual(new Set([1]));
--- a/src/entry/node/fleet/test/views.ts
+++ b/src/entry/node/fleet/test/views.ts
@@ -1,12 +1,12 @@
-/** Views of other entries as tests make them. */
+/** Creates views of other entries for tests. */
 
 import type { InstanceId, ManifestVersion, RegionName, ZoneName } from '../../../../core/ids/common/ids';
 import type { EntryView } from '../../../common/fleetView/entryView';
 
 export const region = 'khomas' as RegionName;
 
-/** A view of an entry that has just spoken. */
-export function createView(instance: string, more: Partial<EntryView> = {}): EntryView {
+/** Creates a view that its entry has just sent. */
+export function createView(instance: string, overrides: Partial<EntryView> = {}): EntryView {
 	return {
 		instance: instance as InstanceId,
 		bootId: `boot-of-${instance}` as EntryView['bootId'],
@@ -22,6 +22,6 @@
 		rooms: [],
 		leavingTargets: [],
 		crashSightings: [],
-		...more,
+		...overrides,
 	};
 }
--- a/src/entry/node/fleet/viewCodec.ts
+++ b/src/entry/node/fleet/viewCodec.ts
@@ -1,6 +1,6 @@
 /**
- * Views between the entry's own types and the peer protocol's messages. Counts are bounded here, once: the
- * protocol's numbers have 32 bits, and a predicted wait of an entry without targets is infinite.
+ * Converts views between the entry's own types and the peer protocol's messages. Numbers are clamped to the 32 bits
+ * that the protocol has for them, because the predicted wait of an entry without targets is infinite.
  */
 
 import { create } from '@bufbuild/protobuf';
@@ -26,9 +26,9 @@
 } from '../../../gen/anvilroad/peer/v1/peer_pb';
 import type { CrashSightingView, EntryView, ServiceRoomView } from '../../common/fleetView/entryView';
 
-const largestUint32 = 0xffff_ffff;
+const maxUint32 = 0xffff_ffff;
 
-/** The message of a view. */
+/** Encodes a view as a protocol message. */
 export function encodeView(view: EntryView): WireView {
 	return create(EntryViewSchema, {
 		instanceId: view.instance,
@@ -48,9 +48,9 @@
 	});
 }
 
-const tenthsOfOne = 10;
+const tenthsPerUnit = 10;
 
-/** The view that a message carries. */
+/** Decodes the view in a protocol message. */
 export function decodeView(message: WireView): EntryView {
 	return {
 		instance: message.instanceId as InstanceId,
@@ -77,13 +77,13 @@
 		freeSlots: toUint32(Math.floor(room.freeSlots)),
 		running: toUint32(room.running),
 		queued: toUint32(room.queued),
-		runningPerTargetTenths: toUint32((room.runningPerTarget ?? 0) * tenthsOfOne),
+		runningPerTargetTenths: toUint32((room.runningPerTarget ?? 0) * tenthsPerUnit),
 	});
 }
 
-function decodeRoom({ service, runningPerTargetTenths, ...told }: WireRoom): ServiceRoomView {
-	const { waitMs, freeSlots, running, queued } = told;
-	const runningPerTarget = runningPerTargetTenths / tenthsOfOne;
+function decodeRoom({ service, runningPerTargetTenths, ...fields }: WireRoom): ServiceRoomView {
+	const { waitMs, freeSlots, running, queued } = fields;
+	const runningPerTarget = runningPerTargetTenths / tenthsPerUnit;
 	return { service: service as ServiceName, room: { waitMs, freeSlots, running, queued, runningPerTarget } };
 }
 
@@ -96,5 +96,5 @@
 }
 
 function toUint32(value: number): number {
-	return Math.min(largestUint32, Math.max(0, Math.round(value)));
+	return Math.min(maxUint32, Math.max(0, Math.round(value)));
 }
--- a/src/entry/node/immediateTurnScheduler.ts
+++ b/src/entry/node/immediateTurnScheduler.ts
@@ -1,5 +1,5 @@
 /**
- * Scheduling on turns of Node's event loop.
+ * Schedules callbacks on turns of Node's event loop.
  */
 
 import type { ITurnScheduler } from '../common/intake/requestIntake';
--- a/src/entry/node/manifest/manifestKeeper.ts
+++ b/src/entry/node/manifest/manifestKeeper.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps the manifest in force: follows the platform, and takes a newer version from a peer that has seen
- * one, so that a single instance's sight of the platform is enough for all that can reach it.
+ * Holds the current manifest. It accepts new versions from the platform and fetches them from peers that have a newer
+ * one, so that a manifest reaches all connected instances even if only one of them can reach the platform.
  */
 
 import { createHash } from 'node:crypto';
@@ -16,32 +16,32 @@
 import { ManifestIndex } from '../../common/placement/manifestIndex';
 import type { PeerConnection } from '../peers/peerClients';
 
-/** The manifest in force with its look-up tables. */
+/** The current manifest with its lookup tables. */
 export interface IndexedManifest {
 	readonly accepted: AcceptedManifest;
 	readonly index: ManifestIndex;
 }
 
-/** Hears what became of each offered document. */
-export type ObserveOffer = (state: ManifestState) => void;
+/** Called with the result of each submitted document. */
+export type ObserveSubmission = (state: ManifestState) => void;
 
 function computeDigest(document: string): string {
 	return createHash('sha256').update(document).digest('hex');
 }
 
-/** Owns the manifest in force. */
+/** Holds the current manifest and validates new ones. */
 export class ManifestKeeper extends Disposable {
 	private readonly holder: ManifestHolder;
-	private readonly fetching = new Set<InstanceId>();
+	private readonly fetchingFrom = new Set<InstanceId>();
 	private current: IndexedManifest | undefined;
 	private acceptedMs = 0;
 
-	/** Each manifest that comes into force. `getCurrent` already gives it then. */
+	/** Emits each manifest that becomes current; `getCurrent` already returns it at that time. */
 	readonly onDidAccept: Stream<AcceptedManifest>;
 
 	constructor(
 		auditTrail: IAuditTrail,
-		private readonly observeOffer: ObserveOffer,
+		private readonly observeSubmission: ObserveSubmission,
 		private readonly timers: ITimerService,
 	) {
 		super();
@@ -59,12 +59,12 @@
 		return this.current;
 	}
 
-	/** The version in force, 0 before the first. */
+	/** Version of the current manifest; 0 before the first. */
 	getVersion(): number {
 		return this.current?.accepted.version ?? 0;
 	}
 
-	/** Milliseconds since the manifest came into force, or undefined before the first. */
+	/** Milliseconds since the manifest became current; undefined before the first. */
 	getAgeMs(): number | undefined {
 		return this.current === undefined ? undefined : this.timers.getNow() - this.acceptedMs;
 	}
@@ -73,24 +73,24 @@
 		this.submit(document.version, document.bytes, 'platform');
 	}
 
-	/** Fetches a peer's manifest where its view names a higher version; one fetch from a peer at a time. */
-	async takeFromPeer(instance: InstanceId, version: number, peer: PeerConnection): Promise<void> {
-		if (version <= this.getVersion() || this.fetching.has(instance)) {
+	/** Fetches a peer's manifest if its view reports a higher version; at most one fetch per peer at a time. */
+	async fetchFromPeer(instance: InstanceId, version: number, peer: PeerConnection): Promise<void> {
+		if (version <= this.getVersion() || this.fetchingFrom.has(instance)) {
 			return;
 		}
-		this.fetching.add(instance);
+		this.fetchingFrom.add(instance);
 		try {
 			const answer = await peer.client.fetchManifest({});
 			this.submit(Number(answer.version), answer.document, `peer ${instance}`);
 		} catch {
-			// The next view names the version again; nothing is lost by one fetch that failed.
+			// A failed fetch is retried: the peer's next view reports the version again.
 		} finally {
-			this.fetching.delete(instance);
+			this.fetchingFrom.delete(instance);
 		}
 	}
 
 	private submit(version: number, bytes: Uint8Array, source: string): void {
 		const document = Buffer.from(bytes).toString('utf8');
-		this.observeOffer(this.holder.submit({ version, document, source }));
+		this.observeSubmission(this.holder.submit({ version, document, source }));
 	}
 }
--- a/src/entry/node/manifest/offerMetrics.ts
+++ b/src/entry/node/manifest/manifestMetrics.ts
@@ -1,12 +1,12 @@
 /**
- * Which count each end of an offered manifest goes to.
+ * Maps the state of a submitted manifest to its metric label.
  */
 
 import { ManifestState } from '../../../core/manifest/common/manifestHolder';
 import { ManifestResult } from '../../../core/telemetry/common/entryMetricLabels';
 
-/** The metric's label for what became of an offer. */
-export function describeOfferState(state: ManifestState): ManifestResult {
+/** Returns the result label for the state that a submitted manifest ended in. */
+export function getManifestResult(state: ManifestState): ManifestResult {
 	switch (state) {
 		case ManifestState.InForce:
 		case ManifestState.Replaced:
--- a/src/entry/node/operatorsSource.ts
+++ b/src/entry/node/operatorsSource.ts
@@ -1,5 +1,5 @@
 /**
- * What an entry tells its operators, gathered from its parts at the time of asking.
+ * Provides the data of the operators' HTTP interface, collected from the entry's components on each request.
  */
 
 import type { ITimerService } from '../../base/common/timerService';
@@ -23,77 +23,77 @@
 import type { ITargetRegistry } from './targets/targetDirectory';
 import type { TicketService } from './tickets/ticketService';
 
-/** The part of the fleet that knows the peers. */
-export type PeersInView = Pick<EntryFleet, 'getLives' | 'listViews'>;
+/** The subset of the fleet that lists peers and their states. */
+export type PeerStates = Pick<EntryFleet, 'getLifecycles' | 'listViews'>;
 
-/** The entry and the version of its program. */
-export type DescribedInstance = OwnInstance & { readonly version: string };
+/** Identity of the entry with its program version. */
+export type VersionedInstance = OwnInstance & { readonly version: string };
 
-/** The parts that are asked. */
-export interface OperatorsParts {
+/** The components that the status is collected from. */
+export interface OperatorsSourceComponents {
 	readonly manifests: ManifestKeeper;
 	readonly targets: ITargetRegistry;
 	readonly fleet: EntryFleet;
 	readonly runners: ServiceRunners;
 	readonly callHandler: CallHandler;
 	readonly tickets: TicketService;
-	readonly held: HeldBytes;
+	readonly heldBytes: HeldBytes;
 	readonly trail: IAuditTrail;
 	readonly journal: IRequestJournal;
-	/** Milliseconds since the platform last answered, or undefined where it never did. */
+	/** Milliseconds since the platform last answered; undefined if it never has. */
 	readonly getPlatformSilenceMs: () => number | undefined;
 	readonly timers: ITimerService;
 }
 
-/** Gathers the status of one entry. */
+/** Collects the status of one entry. */
 export class EntryOperatorsSource implements IOperatorsSource {
 	private readonly startedMs: number;
 
 	constructor(
-		private readonly own: DescribedInstance,
+		private readonly ownInstance: VersionedInstance,
 		private readonly mostHeldBytes: number,
-		private readonly parts: OperatorsParts,
+		private readonly components: OperatorsSourceComponents,
 	) {
-		this.startedMs = parts.timers.getNow();
+		this.startedMs = components.timers.getNow();
 	}
 
 	getReadiness(): Readiness {
-		return this.parts.callHandler.getReadiness();
+		return this.components.callHandler.getReadiness();
 	}
 
 	getStatus(): EntryStatus {
-		const { id, boot, region, zone, version } = this.own;
-		const { parts } = this;
+		const { id, boot, region, zone, version } = this.ownInstance;
+		const { components } = this;
 		return {
 			instance: id,
 			boot,
 			region,
 			zone,
 			version,
-			uptimeMs: Math.round(parts.timers.getNow() - this.startedMs),
+			uptimeMs: Math.round(components.timers.getNow() - this.startedMs),
 			readiness: this.getReadiness(),
-			isLeaving: parts.callHandler.isLeaving(),
+			isLeaving: components.callHandler.isLeaving(),
 			manifest: this.describeManifest(),
-			platform: { lastReadAgeMs: formatAge(parts.getPlatformSilenceMs()) },
+			platform: { lastReadAgeMs: formatAge(components.getPlatformSilenceMs()) },
 			peers: this.listPeers(),
 			targets: this.listTargets(),
 			services: this.listServices(),
-			ticketsOutstanding: parts.tickets.countSpent(),
-			heldBytes: parts.held.getHeld(),
+			ticketsOutstanding: components.tickets.countUsedTickets(),
+			heldBytes: components.heldBytes.getTotal(),
 			mostHeldBytes: this.mostHeldBytes,
 		};
 	}
 
 	findRecord(id: RequestId): RequestRecord | undefined {
-		return this.parts.journal.find(id);
+		return this.components.journal.find(id);
 	}
 
-	listTrail(most: number): readonly AuditRecord[] {
-		return this.parts.trail.list(most);
+	listTrail(maxRecords: number): readonly AuditRecord[] {
+		return this.components.trail.list(maxRecords);
 	}
 
 	getManifest(): ManifestInForce | undefined {
-		const accepted = this.parts.manifests.getCurrent()?.accepted;
+		const accepted = this.components.manifests.getCurrent()?.accepted;
 		if (accepted === undefined) {
 			return undefined;
 		}
@@ -101,28 +101,28 @@
 	}
 
 	private describeManifest(): EntryStatus['manifest'] {
-		const accepted = this.parts.manifests.getCurrent()?.accepted;
+		const accepted = this.components.manifests.getCurrent()?.accepted;
 		if (accepted === undefined) {
 			return null;
 		}
-		const ageMs = formatAge(this.parts.manifests.getAgeMs()) ?? 0;
+		const ageMs = formatAge(this.components.manifests.getAgeMs()) ?? 0;
 		return { version: accepted.version, digest: accepted.digest, ageMs };
 	}
 
 	private listPeers(): PeerStatus[] {
-		const lives = this.parts.fleet.getLives();
-		return this.parts.fleet.listViews().map(({ view, ageMs }) => ({
+		const lifecycles = this.components.fleet.getLifecycles();
+		return this.components.fleet.listViews().map(({ view, ageMs }) => ({
 			instance: view.instance,
 			region: view.region,
 			zone: view.zone,
-			state: lives.findBoot(view.bootId)?.life.getState() ?? 'gone',
+			state: lifecycles.findBoot(view.bootId)?.life.getState() ?? 'gone',
 			viewAgeMs: Math.round(ageMs),
 			manifestVersion: view.manifestVersion,
 		}));
 	}
 
 	private listTargets(): TargetStatus[] {
-		const { targets, runners } = this.parts;
+		const { targets, runners } = this.components;
 		return runners.listServices().flatMap(service =>
 			targets.listDescribed(service).map(({ id, zone, state, lastSign }) => ({
 				id,
@@ -136,18 +136,18 @@
 	}
 
 	private listServices(): ServiceStatus[] {
-		return this.parts.runners.listServices().map(service => {
-			const { queued, running, waitMs } = this.parts.runners.getRunner(service).measureRoom();
+		return this.components.runners.listServices().map(service => {
+			const { queued, running, waitMs } = this.components.runners.getRunner(service).measureRoom();
 			return { service, queued, running, waitMs: Math.round(waitMs) };
 		});
 	}
 }
 
-/** Other entries in view by state, for the metrics. A boot that is gone is no longer in view. */
-export function countPeers(fleet: PeersInView): ReadonlyMap<string, number> {
+/** Counts the other entries by state for the metrics. Process starts that have expired are left out. */
+export function countPeersByState(fleet: PeerStates): ReadonlyMap<string, number> {
 	const counts = new Map<string, number>();
 	for (const { view } of fleet.listViews()) {
-		const state = fleet.getLives().findBoot(view.bootId)?.life.getState();
+		const state = fleet.getLifecycles().findBoot(view.bootId)?.life.getState();
 		if (state !== undefined) {
 			counts.set(state, (counts.get(state) ?? 0) + 1);
 		}
--- a/src/entry/node/peers/flowWindows.ts
+++ b/src/entry/node/peers/flowWindows.ts
@@ -1,11 +1,11 @@
 /**
- * HTTP/2 flow-control windows for links between regions. A window bounds what may be under way unread, and
- * the default of 64 KiB fits a link within a building: over 110 ms of round trip it lets through 0.6 MB/s
- * whatever the link carries, so a 1 MiB body took seconds on an idle link of 100 Mb/s.
+ * HTTP/2 flow-control windows for links between regions. A window limits the bytes in flight that have not been read.
+ * The default of 64 KiB suits local networks: with a round trip of 110 ms it limits throughput to 0.6 MB/s whatever
+ * the bandwidth, so a 1 MiB body takes seconds on an idle link of 100 Mb/s.
  *
- * The figures are the product of bandwidth and round trip: 1,400 Mb/s for 110 ms is 19 MB under way in all;
- * one stream fills a link of 100 Mb/s with 1.4 MB, and 4 MiB leave it some margin. A reader that is slow
- * holds its own stream back at 4 MiB.
+ * The sizes follow from the bandwidth-delay product. 1,400 Mb/s with 110 ms give 19 MB in flight on a session. One
+ * stream needs 1.4 MB to use a link of 100 Mb/s fully, and 4 MiB leave some margin. A slow reader holds back only its
+ * own stream, after 4 MiB.
  */
 
 import type { Http2Session } from 'node:http2';
@@ -14,10 +14,10 @@
 const streamWindowBytes = 4 * mebibyte;
 const sessionWindowBytes = 32 * mebibyte;
 
-/** The settings that both ends open their sessions with. */
+/** The HTTP/2 settings that clients and servers open sessions with. */
 export const windowSettings = { initialWindowSize: streamWindowBytes } as const;
 
-/** Widens what the other end may send on a session in all; harmless when done twice. */
+/** Enlarges the receive window of a session for all its streams together. Can be called repeatedly. */
 export function setSessionWindow(session: Http2Session): void {
 	if (session.state.localWindowSize !== sessionWindowBytes) {
 		session.setLocalWindowSize(sessionWindowBytes);
--- a/src/entry/node/peers/forwardRun.ts
+++ b/src/entry/node/peers/forwardRun.ts
@@ -1,6 +1,6 @@
 /**
- * Carries one request to another entry and its answer back. The head counts as handed over only after the
- * connection stands, so a peer that cannot be reached leaves the request as unrun as it was.
+ * Forwards one request to another entry and returns its answer. The request counts as handed over only after the
+ * connection is established, so an unreachable peer leaves the request's state unchanged.
  */
 
 import { create } from '@bufbuild/protobuf';
@@ -21,14 +21,14 @@
 import type { RequestRun } from '../requests/requestRun';
 import type { PeerConnection } from './peerClients';
 
-/** Which entry a request goes to, and why. */
-export interface ForwardWay {
+/** The entry that a request is forwarded to, and the reason. */
+export interface ForwardRoute {
 	readonly to: InstanceId;
 	readonly peer: PeerConnection;
 	readonly reason: string;
 }
 
-/** Who forwards, and by which manifest. */
+/** The forwarding entry and its manifest version. */
 export interface ForwardSender {
 	readonly instance: InstanceId;
 	readonly region: RegionName;
@@ -36,19 +36,19 @@
 }
 
 export enum ForwardEndKind {
-	/** The whole answer was handed on. */
+	/** The complete answer was passed on. */
 	Answered = 'answered',
-	/** No connection: the request is where it was before. */
+	/** No connection was established; the state of the request is unchanged. */
 	NotConnected = 'not-connected',
-	/** The peer itself says that the request was not run. */
+	/** The peer reported that the request was not run. */
 	Refused = 'refused',
-	/** The peer, or the way to it, failed; the request may have run. */
+	/** The peer or the connection to it failed; the request may have run. */
 	Failed = 'failed',
-	/** The caller went away. */
+	/** The caller disconnected. */
 	Abandoned = 'abandoned',
 }
 
-/** How forwarding ended. Only `Answered` and `Abandoned` have ended the request as well. */
+/** How forwarding ended. Only `Answered` and `Abandoned` also end the request itself. */
 export interface ForwardEnd {
 	readonly kind: ForwardEndKind;
 	readonly error: RequestError | undefined;
@@ -62,33 +62,33 @@
 	Object.values(ErrorKind).map(kind => [kind, kind]),
 );
 
-const allowedHops = 1;
-const partBytes = 65_536;
-/** Several round trips between regions. */
-const mostConnectMs = 2_000;
-const largestUint32 = 0xffff_ffff;
+const forwardHops = 1;
+const chunkBytes = 65_536;
+/** Connection timeout; covers several round trips between regions. */
+const maxConnectMs = 2_000;
+const maxUint32 = 0xffff_ffff;
 
 type ConnectState = Awaited<ReturnType<PeerConnection['session']['connect']>>;
 
 /** One forwarded request. */
 export class ForwardRun {
 	private readonly abort = new AbortController();
-	private deadline: IDisposable | undefined;
+	private deadlineTimer: IDisposable | undefined;
 	private sentBytes = 0;
 	private receivedBytes = 0;
 	private isAbandoned = false;
 
 	constructor(
 		private readonly run: RequestRun,
-		private readonly way: ForwardWay,
+		private readonly route: ForwardRoute,
 		private readonly sender: ForwardSender,
 		private readonly timers: ITimerService,
 	) {}
 
-	/** Forwards and hands the answer on; never rejects. */
+	/** Forwards the request and passes the answer on; never rejects. */
 	async forward(): Promise<ForwardEnd> {
 		this.run.life.send(RequestEvent.SendAway);
-		this.run.note(JournalStep.SentAway, `to ${this.way.to}: ${this.way.reason}`);
+		this.run.note(JournalStep.SentAway, `to ${this.route.to}: ${this.route.reason}`);
 		const state = await this.openConnection();
 		if (this.run.hasEnded()) {
 			return this.createEnd(ForwardEndKind.Abandoned, undefined);
@@ -97,64 +97,66 @@
 			this.run.life.send(RequestEvent.NotConnected);
 			return this.createEnd(
 				ForwardEndKind.NotConnected,
-				this.createFault(ErrorKind.PeerUnreachable, 'no connection'),
+				this.createPeerError(ErrorKind.PeerUnreachable, 'no connection established'),
 			);
 		}
 		this.run.life.send(RequestEvent.HandOver);
-		return this.exchange();
+		return this.exchangeMessages();
 	}
 
-	/** The caller went away: the peer is told by the end of the stream. */
+	/** Cancels the stream to the peer after the caller has disconnected. */
 	abandon(): void {
 		this.isAbandoned = true;
 		this.abort.abort();
 	}
 
 	/**
-	 * A connection into a link that swallows everything is neither opened nor refused for minutes. The
-	 * request would wait past its deadline, its caller told nothing and a leaving entry kept from its end.
+	 * On a link that drops all packets, a connection attempt neither succeeds nor fails for minutes. Without a timeout
+	 * the request would wait past its deadline, its caller would get no answer and a leaving entry could not stop.
 	 */
 	private async openConnection(): Promise<ConnectState> {
-		const limitMs = Math.min(mostConnectMs, this.run.getRemainingMs());
+		const limitMs = Math.min(maxConnectMs, this.run.getRemainingMs());
 		return new Promise(resolve => {
 			const limit = this.timers.schedule(limitMs, () => {
 				resolve('error');
 			});
-			void this.way.peer.session.connect().then(state => {
+			void this.route.peer.session.connect().then(state => {
 				limit.dispose();
 				resolve(state);
 			});
 		});
 	}
 
-	private async exchange(): Promise<ForwardEnd> {
-		this.deadline = this.timers.schedule(this.run.getRemainingMs(), () => {
+	private async exchangeMessages(): Promise<ForwardEnd> {
+		this.deadlineTimer = this.timers.schedule(this.run.getRemainingMs(), () => {
 			this.abort.abort();
 		});
 		try {
-			return await this.receive();
+			return await this.receiveAnswer();
 		} catch (error) {
 			if (this.isAbandoned) {
 				return this.createEnd(ForwardEndKind.Abandoned, undefined);
 			}
-			const isLate = this.run.getRemainingMs() === 0;
-			const kind = isLate ? ErrorKind.DeadlineExceeded : ErrorKind.PeerFailed;
+			const isDeadlinePassed = this.run.getRemainingMs() === 0;
+			const kind = isDeadlinePassed ? ErrorKind.DeadlineExceeded : ErrorKind.PeerFailed;
 			const detail = error instanceof Error ? error.message : String(error);
-			return this.createEnd(ForwardEndKind.Failed, this.createFault(kind, detail));
+			return this.createEnd(ForwardEndKind.Failed, this.createPeerError(kind, detail));
 		} finally {
-			this.deadline.dispose();
+			this.deadlineTimer.dispose();
 		}
 	}
 
-	private async receive(): Promise<ForwardEnd> {
-		const answers = this.way.peer.client.forwardRequest(this.sendParts(), { signal: this.abort.signal });
+	private async receiveAnswer(): Promise<ForwardEnd> {
+		const answers = this.route.peer.client.forwardRequest(this.streamRequest(), {
+			signal: this.abort.signal,
+		});
 		for await (const { part } of answers) {
 			switch (part.case) {
 				case 'head':
 					this.begin(part.value);
 					break;
 				case 'body':
-					await this.writePart(part.value);
+					await this.writeChunk(part.value);
 					break;
 				case 'fault':
 					return this.endWithFault(part.value);
@@ -167,13 +169,13 @@
 		}
 		return this.createEnd(
 			ForwardEndKind.Failed,
-			this.createFault(ErrorKind.PeerFailed, 'the answer has no end'),
+			this.createPeerError(ErrorKind.PeerFailed, 'the answer ended without an end message'),
 		);
 	}
 
 	private begin(head: ForwardAnswerHead): void {
 		if (!this.run.call.isDeadlineGiven) {
-			this.deadline?.dispose();
+			this.deadlineTimer?.dispose();
 		}
 		this.run.begin({
 			status: head.status,
@@ -182,7 +184,7 @@
 		});
 	}
 
-	private async writePart(chunk: Uint8Array): Promise<void> {
+	private async writeChunk(chunk: Uint8Array): Promise<void> {
 		this.receivedBytes += chunk.byteLength;
 		if (this.run.write(chunk)) {
 			return;
@@ -197,7 +199,7 @@
 
 	private endWithFault(fault: ForwardFault): ForwardEnd {
 		const kind = errorKindsByName.get(fault.errorKind) ?? ErrorKind.PeerFailed;
-		const error = createRequestError(kind, `${this.way.to}: ${fault.detail}`, {
+		const error = createRequestError(kind, `${this.route.to}: ${fault.detail}`, {
 			isOutcomeUnknown: fault.isOutcomeUnknown,
 			...(fault.retryAfterMs > 0 ? { retryAfterMs: fault.retryAfterMs } : {}),
 		});
@@ -208,11 +210,11 @@
 		return this.createEnd(ForwardEndKind.Failed, error);
 	}
 
-	private async *sendParts(): AsyncGenerator<ForwardRequestRequest> {
+	private async *streamRequest(): AsyncGenerator<ForwardRequestRequest> {
 		yield this.createHead();
 		const { body } = this.run.call;
-		for (let start = 0; start < body.byteLength; start += partBytes) {
-			const value = body.subarray(start, start + partBytes);
+		for (let start = 0; start < body.byteLength; start += chunkBytes) {
+			const value = body.subarray(start, start + chunkBytes);
 			this.sentBytes += value.byteLength;
 			yield create(ForwardRequestRequestSchema, { part: { case: 'body', value } });
 		}
@@ -232,11 +234,11 @@
 					method: head.method,
 					path: head.path,
 					headers: head.passedOn.map(({ name, value }) => ({ name, value })),
-					remainingMs: Math.min(largestUint32, Math.floor(this.run.getRemainingMs())),
+					remainingMs: Math.min(maxUint32, Math.floor(this.run.getRemainingMs())),
 					isDeadlineGiven: this.run.call.isDeadlineGiven,
 					prefixKey: head.prefixKey ?? '',
 					ticket: head.ticket ?? '',
-					hops: allowedHops,
+					hops: forwardHops,
 					fromInstance: this.sender.instance,
 					fromRegion: this.sender.region,
 					manifestVersion: BigInt(this.sender.manifestVersion),
@@ -247,8 +249,8 @@
 		});
 	}
 
-	private createFault(kind: ErrorKind, detail: string): RequestError {
-		return createRequestError(kind, `${this.way.to}: ${detail}`);
+	private createPeerError(kind: ErrorKind, detail: string): RequestError {
+		return createRequestError(kind, `${this.route.to}: ${detail}`);
 	}
 
 	private createEnd(kind: ForwardEndKind, error: RequestError | undefined): ForwardEnd {
--- a/src/entry/node/peers/lingeringSockets.ts
+++ b/src/entry/node/peers/lingeringSockets.ts
@@ -1,20 +1,20 @@
 /**
- * The sockets of a server that is closing. An HTTP/2 session that has ended waits for the other side to
- * close its end too, and a client that has lost interest in the connection may never do so. Without a bound
- * the server's close never ends and the process stays for ever after its last request, which an operator
- * sees as a planned stop that has to be killed.
+ * Destroys the sockets of a closing server after a time limit. An HTTP/2 session that has ended waits for the client
+ * to close its side of the connection, and a client that no longer uses it may never do so. Without a limit the
+ * server never finishes closing, the process keeps running after its last request, and operators have to kill it
+ * during a planned stop.
  */
 
 import type { Socket } from 'node:net';
 import type { ITimerService } from '../../../base/common/timerService';
 
 /**
- * Time between the end of what this side sends and the end of the socket, in milliseconds. Far above a
- * round trip between regions, so that the other side has read the last answer by then.
+ * Time between the end of the sending side and the destruction of the socket, in milliseconds. Far longer than a
+ * round trip between regions, so that the client has received the last answer by then.
  */
 export const lingerMs = 2_000;
 
-/** Follows open sockets and, once told so, ends each that has nothing left to send. */
+/** Tracks open sockets, and after `endAfterLinger` destroys each one that has sent all its data. */
 export class LingeringSockets {
 	private readonly sockets = new Set<Socket>();
 
@@ -25,7 +25,7 @@
 		socket.once('close', () => this.sockets.delete(socket));
 	}
 
-	/** From now on a socket whose sending side has ended is destroyed after the linger. */
+	/** From now on, destroys each socket when `lingerMs` have passed since its sending side ended. */
 	endAfterLinger(): void {
 		for (const socket of this.sockets) {
 			if (socket.writableFinished) {
--- a/src/entry/node/peers/peerClients.ts
+++ b/src/entry/node/peers/peerClients.ts
@@ -1,7 +1,7 @@
 /**
- * Connections to other entries: one HTTP/2 session each, over which views, manifests and forwarded requests
- * travel. Sessions are pinged while something runs on them: an open connection that something in between
- * has lost track of stays silent for good, and a forwarded request would wait on it until its deadline.
+ * Connections to other entries: one HTTP/2 session each, for views, manifests and forwarded requests. Sessions with
+ * active streams are pinged, because an open connection that a device on the path no longer tracks stays silent
+ * permanently, and a forwarded request would wait on it until its deadline.
  */
 
 import type { Client } from '@connectrpc/connect';
@@ -17,21 +17,21 @@
 
 const pingIntervalMs = 2_000;
 const pingTimeoutMs = 1_500;
-const idleConnectionMs = 60_000;
+const idleTimeoutMs = 60_000;
 
-/** One peer's typed client and its session. */
+/** The RPC client and the HTTP/2 session of one peer. */
 export interface PeerConnection {
 	readonly client: Client<typeof PeerService>;
 	readonly session: Http2SessionManager;
 }
 
-/** Opens and keeps one connection for each peer URL. */
+/** Opens and reuses one connection for each peer URL. */
 export class PeerClients extends Disposable {
 	private readonly connections = new Map<string, PeerConnection>();
 
 	/**
-	 * `routes` maps an advertised URL to the one to dial; `certificates` are shown to peers and theirs are
-	 * checked, or connections are plain.
+	 * `routes` maps advertised URLs to the URLs to connect to. `certificates` enables mutual TLS; without it,
+	 * connections are not encrypted.
 	 */
 	constructor(
 		private readonly routes: Readonly<Record<string, string>>,
@@ -47,14 +47,14 @@
 		);
 	}
 
-	/** The connection to a peer; it is opened by its first call. */
+	/** Returns the connection to a peer. The first call on it establishes it. */
 	open(peerUrl: string): PeerConnection {
 		const existing = this.connections.get(peerUrl);
 		if (existing !== undefined) {
 			return existing;
 		}
 		const baseUrl = this.routes[peerUrl] ?? peerUrl;
-		const pings = { pingIntervalMs, pingTimeoutMs, idleConnectionTimeoutMs: idleConnectionMs };
+		const pings = { pingIntervalMs, pingTimeoutMs, idleConnectionTimeoutMs: idleTimeoutMs };
 		const secure = this.certificates && createPeerSessionOptions(this.certificates, peerUrl);
 		const session = new PeerSession(baseUrl, pings, { ...secure, settings: windowSettings });
 		const transport = createConnectTransport({ baseUrl, httpVersion: '2', sessionManager: session });
@@ -63,10 +63,10 @@
 		return connection;
 	}
 
-	/** Lets go of the connections to peers that are gone, so that replaced instances leave nothing behind. */
-	closeOthers(present: ReadonlySet<string>): void {
+	/** Closes the connections to peers that are no longer present, so that replaced instances leak none. */
+	closeAbsent(presentUrls: ReadonlySet<string>): void {
 		for (const [peerUrl, { session }] of this.connections) {
-			if (!present.has(peerUrl)) {
+			if (!presentUrls.has(peerUrl)) {
 				session.abort();
 				this.connections.delete(peerUrl);
 			}
--- a/src/entry/node/peers/peerServer.ts
+++ b/src/entry/node/peers/peerServer.ts
@@ -1,6 +1,6 @@
 /**
- * What other entries may ask of this one, over connect and HTTP/2: to swap views, to hand out the manifest
- * in force, and to take over a request.
+ * The server for other entries, with the Connect protocol over HTTP/2: exchanges views, returns the current manifest
+ * and accepts forwarded requests.
  */
 
 import { create } from '@bufbuild/protobuf';
@@ -42,35 +42,35 @@
 import type { CallPlan, ForwardedFrom } from '../../common/placement/callPlan';
 import type { HeldBytes } from '../callers/bodyReader';
 import type { AcceptedCall } from '../requests/requestRun';
-import { ClosingSessions } from './closingSessions';
+import { SessionDrainer } from './sessionDrainer';
 import { setSessionWindow, windowSettings } from './flowWindows';
 import { LingeringSockets } from './lingeringSockets';
-import { createFaultPart, PeerSink } from './peerSink';
+import { createFaultMessage, PeerSink } from './peerSink';
 
-/** What the server asks of the entry. */
+/** The operations of the entry that the server uses. */
 export interface IPeerHandler {
 	exchangeViews(views: readonly EntryView[]): EntryView[];
 	describeManifest(): FetchManifestResponse;
-	/** Undefined, or what a call must wait for after this process slept. */
+	/** Undefined, or a promise that new calls must wait for after startup or a suspension of the process. */
 	findHold(): Promise<void> | undefined;
-	/** Checks a forwarded call by this entry's own manifest, before its body is read. */
+	/** Checks a forwarded call against this entry's own manifest before its body is read. */
 	planForwarded(head: CallHead, from: ForwardedFrom): Result<CallPlan, RequestError>;
-	refuseTicketed(ticket: string, error: RequestError): RequestError;
-	/** Reads the head of a call as a caller of this entry would send it. */
+	refuseTicketedCall(ticket: string, error: RequestError): RequestError;
+	/** Parses the head of a call like one that a caller sent to this entry directly. */
 	readHead(raw: RawHead): Result<CallHead, RequestError>;
 	accept(call: AcceptedCall, sink: IAnswerSink): void;
 }
 
-/** Serves other entries. */
+/** Serves the requests of other entries. */
 export class PeerServer extends Disposable {
 	private readonly server: Http2Server | Http2SecureServer;
-	private readonly sessions: ClosingSessions;
-	private readonly sockets: LingeringSockets;
+	private readonly sessionDrainer: SessionDrainer;
+	private readonly lingeringSockets: LingeringSockets;
 
 	constructor(
 		private readonly handler: IPeerHandler,
-		private readonly held: HeldBytes,
-		private readonly mostBodyBytes: number,
+		private readonly heldBytes: HeldBytes,
+		private readonly maxBodyBytes: number,
 		private readonly intake: RequestIntake,
 		private readonly timers: ITimerService,
 		certificates: CertificateStore | undefined,
@@ -85,15 +85,15 @@
 			});
 		};
 		this.server = this.createServer(connectNodeAdapter({ routes }), certificates);
-		this.sockets = new LingeringSockets(timers);
-		this.sessions = new ClosingSessions(timers);
+		this.lingeringSockets = new LingeringSockets(timers);
+		this.sessionDrainer = new SessionDrainer(timers);
 		this.server.on(certificates === undefined ? 'connection' : 'secureConnection', (socket: Socket) => {
-			this.sockets.add(socket);
+			this.lingeringSockets.add(socket);
 			this.intake.noteConnection();
 		});
 		this.server.on('session', session => {
 			setSessionWindow(session);
-			this.sessions.add(session);
+			this.sessionDrainer.add(session);
 		});
 	}
 
@@ -101,16 +101,16 @@
 		return listenOn(this.server, address);
 	}
 
-	/** Stops listening and ends each session after the streams that run on it. */
+	/** Stops listening, and ends each session after its last stream. */
 	async close(): Promise<void> {
 		return new Promise(resolve => {
 			this.dispose();
 			this.server.close(() => {
-				this.sessions.dispose();
+				this.sessionDrainer.dispose();
 				resolve();
 			});
-			this.sockets.endAfterLinger();
-			this.sessions.close();
+			this.lingeringSockets.endAfterLinger();
+			this.sessionDrainer.close();
 		});
 	}
 
@@ -135,9 +135,9 @@
 	): AsyncGenerator<ForwardRequestResponse> {
 		const arrivedMs = this.timers.getNow();
 		const iterator = requests[Symbol.asyncIterator]();
-		const accepted = await this.readCall(iterator, arrivedMs, () => context.signal.aborted);
+		const accepted = await this.readForwardedCall(iterator, arrivedMs, () => context.signal.aborted);
 		if (accepted.isErr()) {
-			yield createFaultPart(accepted.error);
+			yield createFaultMessage(accepted.error);
 			return;
 		}
 		const sink = new PeerSink();
@@ -145,38 +145,40 @@
 			sink.abandon();
 		});
 		this.handler.accept(accepted.value, sink);
-		yield* sink.takeParts();
+		yield* sink.takeMessages();
 	}
 
-	private async readCall(
+	private async readForwardedCall(
 		iterator: AsyncIterator<ForwardRequestRequest>,
 		arrivedMs: number,
 		isAbandoned: IsAbandoned,
 	): Promise<Result<AcceptedCall, RequestError>> {
 		const first = await iterator.next();
 		if (first.done === true || first.value.part.case !== 'head') {
-			return err(createRequestError(ErrorKind.PeerFailed, 'a forwarded request without a head'));
+			return err(
+				createRequestError(ErrorKind.PeerFailed, 'the forwarded request does not start with a head'),
+			);
 		}
 		const message = first.value.part.value;
 		await this.handler.findHold();
 		const head = this.readHead(message);
 		const from = { hops: message.hops, region: message.fromRegion as RegionName };
-		const plan = head.andThen(known => this.handler.planForwarded(known, from));
+		const plan = head.andThen(parsed => this.handler.planForwarded(parsed, from));
 		if (head.isErr() || plan.isErr()) {
-			return err(this.createTold(message, plan._unsafeUnwrapErr()));
+			return err(this.createReportedError(message, plan._unsafeUnwrapErr()));
 		}
-		const body = await this.readParts(iterator);
+		const body = await this.readBodyChunks(iterator);
 		const admitted = body.isErr() ? undefined : await this.intake.admit(isAbandoned);
 		if (body.isOk() && admitted?.isErr() === true) {
-			this.held.release(body.value.byteLength);
-			return err(this.createTold(message, admitted.error));
+			this.heldBytes.release(body.value.byteLength);
+			return err(this.createReportedError(message, admitted.error));
 		}
 		return body
 			.map(bytes => createForwardedCall(message, head.value, plan.value, bytes, arrivedMs))
-			.mapErr(error => this.createTold(message, error));
+			.mapErr(error => this.createReportedError(message, error));
 	}
 
-	/** A call that came by host and path is read by this entry's own manifest. */
+	/** Parses a call that is routed by host and path with this entry's own manifest. */
 	private readHead(message: ForwardHead): Result<CallHead, RequestError> {
 		if (message.host === '') {
 			return readForwardHead(message);
@@ -190,11 +192,11 @@
 		});
 	}
 
-	private createTold(message: ForwardHead, error: RequestError): RequestError {
-		return message.ticket === '' ? error : this.handler.refuseTicketed(message.ticket, error);
+	private createReportedError(message: ForwardHead, error: RequestError): RequestError {
+		return message.ticket === '' ? error : this.handler.refuseTicketedCall(message.ticket, error);
 	}
 
-	private async readParts(
+	private async readBodyChunks(
 		iterator: AsyncIterator<ForwardRequestRequest>,
 	): Promise<Result<Uint8Array, RequestError>> {
 		const chunks: Uint8Array[] = [];
@@ -204,11 +206,11 @@
 				continue;
 			}
 			const chunk = next.value.part.value;
-			const isTooLarge = bytes + chunk.byteLength > this.mostBodyBytes;
-			if (isTooLarge || !this.held.reserve(chunk.byteLength)) {
-				this.held.release(bytes);
+			const isTooLarge = bytes + chunk.byteLength > this.maxBodyBytes;
+			if (isTooLarge || !this.heldBytes.reserve(chunk.byteLength)) {
+				this.heldBytes.release(bytes);
 				const kind = isTooLarge ? ErrorKind.BodyTooLarge : ErrorKind.EntryFull;
-				return err(createRequestError(kind, `after ${bytes} bytes`));
+				return err(createRequestError(kind, `limit reached after ${bytes} bytes`));
 			}
 			bytes += chunk.byteLength;
 			chunks.push(chunk);
--- a/src/entry/node/peers/peerSession.ts
+++ b/src/entry/node/peers/peerSession.ts
@@ -1,6 +1,6 @@
 /**
- * A connection to a peer whose flow-control window fits a link between regions. The session behind the
- * library's manager shows itself only by its streams, so the window is widened with the first of each.
+ * A connection to a peer with a flow-control window sized for links between regions. The library's session manager
+ * exposes a session only through its streams, so the window is enlarged with the first stream of each session.
  */
 
 import { Http2SessionManager } from '@connectrpc/connect-node';
@@ -8,23 +8,27 @@
 import { setSessionWindow } from './flowWindows';
 
 /**
- * The manager stops listening to a session that it leaves, and one whose ping timed out can still report
- * that afterwards. An `error` that nobody listens to ends the process, and with it every request of this
- * entry, because one peer fell silent. The streams of the session have been told already.
+ * The manager removes its listeners from a session that it abandons, but a session whose ping timed out can still
+ * emit `error` afterwards. An unhandled `error` event would end the process, and with it all requests of this entry,
+ * because of one unresponsive peer. The streams of the session have already failed by then.
  */
 function handleLateError(): void {
 	return;
 }
 
-/** Opens sessions as the library does, and widens each. */
+/** Opens sessions like the library does, and enlarges the window of each. */
 export class PeerSession extends Http2SessionManager {
-	private readonly widened = new WeakSet<ClientHttp2Session>();
+	private readonly widenedSessions = new WeakSet<ClientHttp2Session>();
 
 	override async request(...call: Parameters<Http2SessionManager['request']>): Promise<ClientHttp2Stream> {
 		const stream = await super.request(...call);
 		const { session } = stream;
-		if (session !== undefined && !session.destroyed && !this.widened.has(session as ClientHttp2Session)) {
-			this.widened.add(session as ClientHttp2Session);
+		if (
+			session !== undefined &&
+			!session.destroyed &&
+			!this.widenedSessions.has(session as ClientHttp2Session)
+		) {
+			this.widenedSessions.add(session as ClientHttp2Session);
 			session.on('error', handleLateError);
 			setSessionWindow(session);
 		}
--- a/src/entry/node/peers/peerSink.ts
+++ b/src/entry/node/peers/peerSink.ts
@@ -1,6 +1,6 @@
 /**
- * The sink of a forwarded request: a bounded queue of answer parts that the stream to the sending entry
- * takes from at its own pace.
+ * The sink of a forwarded request: a bounded queue of answer messages, read by the stream to the forwarding entry at
+ * its own pace.
  */
 
 import { create } from '@bufbuild/protobuf';
@@ -10,10 +10,10 @@
 import { ForwardRequestResponseSchema } from '../../../gen/anvilroad/peer/v1/peer_pb';
 import type { AnswerHead, IAnswerSink } from '../../common/callers/answerSink';
 
-const mostQueuedBytes = 262_144;
+const maxQueuedBytes = 262_144;
 
-/** Makes the last message of a forwarded request that has no whole answer. */
-export function createFaultPart(error: RequestError): ForwardRequestResponse {
+/** Creates the last message for a forwarded request without a complete answer. */
+export function createFaultMessage(error: RequestError): ForwardRequestResponse {
 	return create(ForwardRequestResponseSchema, {
 		part: {
 			case: 'fault',
@@ -27,14 +27,14 @@
 	});
 }
 
-/** Holds an answer's parts until the stream takes them. */
+/** Queues the messages of an answer until the stream reads them. */
 export class PeerSink implements IAnswerSink {
-	private readonly parts: ForwardRequestResponse[] = [];
+	private readonly messages: ForwardRequestResponse[] = [];
 	private queuedBytes = 0;
 	private isEnded = false;
 	private isAbandoned = false;
-	private wake: (() => void) | undefined;
-	private resume: (() => void) | undefined;
+	private notifyReader: (() => void) | undefined;
+	private resumeWriter: (() => void) | undefined;
 	private notifyAbandoned: (() => void) | undefined;
 
 	begin(head: AnswerHead): void {
@@ -55,11 +55,11 @@
 	write(chunk: Uint8Array): boolean {
 		this.queuedBytes += chunk.byteLength;
 		this.push(create(ForwardRequestResponseSchema, { part: { case: 'body', value: chunk } }));
-		return this.queuedBytes < mostQueuedBytes;
+		return this.queuedBytes < maxQueuedBytes;
 	}
 
 	waitForDrain(resume: () => void): void {
-		this.resume = resume;
+		this.resumeWriter = resume;
 	}
 
 	end(): void {
@@ -67,64 +67,64 @@
 	}
 
 	cut(): void {
-		this.pushLast(createFaultPart(createRequestError(ErrorKind.TargetFailed, 'the answer broke off')));
+		this.pushLast(createFaultMessage(createRequestError(ErrorKind.TargetFailed, 'the answer is incomplete')));
 	}
 
 	refuse(error: RequestError): void {
-		this.pushLast(createFaultPart(error));
+		this.pushLast(createFaultMessage(error));
 	}
 
 	watchAbandoned(notify: () => void): void {
 		this.notifyAbandoned = notify;
 	}
 
-	/** The stream to the sending entry broke, or that entry let go of it. */
+	/** Handles the failure of the stream to the forwarding entry, or its cancellation by that entry. */
 	abandon(): void {
 		if (this.isEnded || this.isAbandoned) {
 			return;
 		}
 		this.isAbandoned = true;
 		this.notifyAbandoned?.();
-		this.wake?.();
+		this.notifyReader?.();
 	}
 
-	/** The parts in their order, until the last. */
-	async *takeParts(): AsyncGenerator<ForwardRequestResponse> {
+	/** Yields the messages in order, up to the last one. */
+	async *takeMessages(): AsyncGenerator<ForwardRequestResponse> {
 		for (;;) {
-			const part = this.parts.shift();
-			if (part !== undefined) {
-				this.releaseBytes(part);
-				yield part;
+			const message = this.messages.shift();
+			if (message !== undefined) {
+				this.releaseBytes(message);
+				yield message;
 				continue;
 			}
 			if (this.isEnded || this.isAbandoned) {
 				return;
 			}
 			await new Promise<void>(resolve => {
-				this.wake = resolve;
+				this.notifyReader = resolve;
 			});
 		}
 	}
 
-	private releaseBytes(part: ForwardRequestResponse): void {
-		if (part.part.case !== 'body') {
+	private releaseBytes(message: ForwardRequestResponse): void {
+		if (message.part.case !== 'body') {
 			return;
 		}
-		this.queuedBytes -= part.part.value.byteLength;
-		if (this.queuedBytes < mostQueuedBytes) {
-			const resume = this.resume;
-			this.resume = undefined;
+		this.queuedBytes -= message.part.value.byteLength;
+		if (this.queuedBytes < maxQueuedBytes) {
+			const resume = this.resumeWriter;
+			this.resumeWriter = undefined;
 			resume?.();
 		}
 	}
 
-	private pushLast(part: ForwardRequestResponse): void {
+	private pushLast(message: ForwardRequestResponse): void {
 		this.isEnded = true;
-		this.push(part);
+		this.push(message);
 	}
 
-	private push(part: ForwardRequestResponse): void {
-		this.parts.push(part);
-		this.wake?.();
+	private push(message: ForwardRequestResponse): void {
+		this.messages.push(message);
+		this.notifyReader?.();
 	}
 }
--- a/src/entry/node/peers/test/peerServer.test.ts
+++ b/src/entry/node/peers/test/peerServer.test.ts
@@ -27,7 +27,7 @@
 });
 
 function failCall(): never {
-	throw new Error('nothing is asked in these tests');
+	throw new Error('unexpected call in this test');
 }
 
 const handler: IPeerHandler = {
@@ -35,7 +35,7 @@
 	describeManifest: failCall,
 	planForwarded: failCall,
 	findHold: () => undefined,
-	refuseTicketed: failCall,
+	refuseTicketedCall: failCall,
 	readHead: failCall,
 	accept: failCall,
 };
@@ -50,14 +50,14 @@
 	return new PeerServer(peerHandler, new HeldBytes(1_024), 1_024, intake, timers, undefined);
 }
 
-/** The start of HTTP/2 as a client sends it: the preface and an empty settings frame. */
+/** The bytes that start an HTTP/2 connection on the client: the preface and an empty SETTINGS frame. */
 const clientStart = Buffer.concat([
 	Buffer.from('PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n'),
 	Buffer.from([0, 0, 0, 4, 0, 0, 0, 0, 0]),
 ]);
 
-/** A peer's connection whose own end stays open when the server has ended the other one. */
-async function openStubbornPeer(port: number): Promise<Socket> {
+/** Opens a connection whose client side stays open after the server has closed its side. */
+async function openHalfClosingPeer(port: number): Promise<Socket> {
 	const socket = connect({ host: '127.0.0.1', port, allowHalfOpen: true });
 	owned.add(
 		toDisposable(() => {
@@ -71,13 +71,13 @@
 }
 
 describe('PeerServer', () => {
-	test('closes though a peer keeps its end of the connection open', async () => {
-		// A peer has lost track of a connection and never closes its end of it. The stopping entry waits for
-		// it, never exits, and operators have to kill it.
+	test('closes even if a peer keeps its side of the connection open', async () => {
+		// A peer no longer uses a connection and never closes its side. Without a time limit the stopping entry waits
+		// for it, never exits, and operators have to kill it.
 		const timers = new ManualTimerService();
 		const server = createServer(handler, timers);
 		const { port } = await server.listen({ host: '127.0.0.1', port: 0 });
-		const socket = await openStubbornPeer(port);
+		const socket = await openHalfClosingPeer(port);
 		let isClosed = false;
 		const closed = server.close().then(() => {
 			isClosed = true;
@@ -104,7 +104,7 @@
 				});
 			},
 			planForwarded: () => ok({} as CallPlan),
-			refuseTicketed: (_, error) => error,
+			refuseTicketedCall: (_, error) => error,
 			accept: ({ id }, sink) => {
 				accepted.push(id);
 				sink.end();
--- a/src/entry/node/peers/test/peerSession.test.ts
+++ b/src/entry/node/peers/test/peerSession.test.ts
@@ -12,9 +12,9 @@
 }
 
 describe('PeerSession', () => {
-	it('outlives an error that its session reports after the library has left it', async () => {
-		// A link falls silent, the ping to a peer times out, and the session says so once more after it was
-		// given up. An entry that ends by that cuts off every caller it has, none of whom used that link.
+	it('handles an error that its session emits after the library has abandoned it', async () => {
+		// A link fails silently, the ping to a peer times out, and the session emits that error again after it was
+		// abandoned. An unhandled error would end the process and interrupt callers that did not use the link.
 		const server = await openServer();
 		const { port } = server.address() as AddressInfo;
 		const peer = new PeerSession(`http://127.0.0.1:${port}`);
--- a/src/entry/node/peers/test/closingSessions.test.ts
+++ b/src/entry/node/peers/test/sessionDrainer.test.ts
@@ -10,9 +10,9 @@
 import type { AddressInfo, Server, Socket } from 'node:net';
 import { connect, createServer } from 'node:net';
 import { ManualTimerService } from '../../../../base/common/manualTimerService';
-import { ClosingSessions } from '../closingSessions';
+import { SessionDrainer } from '../sessionDrainer';
 
-/** A relay that passes everything on until it is cut; then it swallows all and closes nothing. */
+/** Opens a TCP relay that forwards all data until it is cut; then it discards all data and closes nothing. */
 async function openRelay(toPort: number): Promise<{ server: Server; port: number; cut: () => void }> {
 	const pairs: (readonly [Socket, Socket])[] = [];
 	const server = createServer(near => {
@@ -35,14 +35,14 @@
 	readonly server: Http2Server;
 	readonly session: ServerHttp2Session;
 	readonly client: ClientHttp2Session;
-	/** The two ends of the stream. */
+	/** The client's and the server's end of the stream. */
 	readonly request: ClientHttp2Stream;
 	readonly stream: ServerHttp2Stream;
 	readonly relay: Awaited<ReturnType<typeof openRelay>>;
 }
 
-/** A server with one session, on which one stream waits for its end. */
-async function openStream(sessions: ClosingSessions): Promise<OpenStream> {
+/** Opens a server with one session and one stream that has not ended. */
+async function openStream(sessions: SessionDrainer): Promise<OpenStream> {
 	const server = createHttp2Server(() => undefined);
 	server.on('session', opened => {
 		sessions.add(opened);
@@ -58,38 +58,38 @@
 	return { server, session, client, relay, request, stream };
 }
 
-/** Lets one ping go there and back. */
+/** Waits for one ping to be answered. */
 async function waitForPing(): Promise<void> {
 	await new Promise(resolve => setTimeout(resolve, 50));
 }
 
-async function waitForAsks(seconds: number, timers: ManualTimerService): Promise<void> {
+async function waitForPings(seconds: number, timers: ManualTimerService): Promise<void> {
 	for (let second = 0; second < seconds; second++) {
 		timers.advance(1_000);
 		await waitForPing();
 	}
 }
 
-describe('ClosingSessions', () => {
-	it('ends a session whose peer fell silent, and leaves a living one to its streams', async () => {
-		// The link to another region swallows everything while this entry is told to stop. The stream to that
-		// region can never end; without a bound the process stays and has to be killed.
+describe('SessionDrainer', () => {
+	it('destroys the session of an unresponsive peer, and lets the streams of a responsive one finish', async () => {
+		// The link to another region drops all packets while this entry is stopping. The stream to that region can
+		// never end; without a time limit the process keeps running and has to be killed.
 		const timers = new ManualTimerService();
-		const closing = new ClosingSessions(timers);
-		const living = await openStream(closing);
-		const silent = await openStream(closing);
-		silent.relay.cut();
-		closing.close();
-		await waitForAsks(12, timers);
-		expect(silent.session.destroyed).toBe(true);
-		expect(living.session.destroyed).toBe(false);
-		living.stream.respond({ ':status': 200 });
-		living.stream.end('the whole answer');
-		expect(await living.request.reduce((text, chunk) => `${text}${String(chunk)}`, '')).toBe(
-			'the whole answer',
+		const drainer = new SessionDrainer(timers);
+		const responsive = await openStream(drainer);
+		const unresponsive = await openStream(drainer);
+		unresponsive.relay.cut();
+		drainer.close();
+		await waitForPings(12, timers);
+		expect(unresponsive.session.destroyed).toBe(true);
+		expect(responsive.session.destroyed).toBe(false);
+		responsive.stream.respond({ ':status': 200 });
+		responsive.stream.end('the complete answer');
+		expect(await responsive.request.reduce((text, chunk) => `${text}${String(chunk)}`, '')).toBe(
+			'the complete answer',
 		);
-		closing.dispose();
-		for (const { server, session, client, relay } of [living, silent]) {
+		drainer.dispose();
+		for (const { server, session, client, relay } of [responsive, unresponsive]) {
 			session.destroy();
 			client.destroy();
 			server.close();
--- a/src/entry/node/requests/requestRouter.ts
+++ b/src/entry/node/requests/requestRouter.ts
@@ -14,7 +14,7 @@
 import { isAllowedRegion } from '../../common/placement/callPlan';
 import { RequestEvent } from '../../common/requests/requestLife';
 import type { ISendAwayPolicy, OwnerRegion, RemoteOffer } from '../../common/sendAway/sendAwayPolicy';
-import type { ForwardEnd, ForwardWay } from '../peers/forwardRun';
+import type { ForwardEnd, ForwardRoute } from '../peers/forwardRun';
 import { ForwardEndKind, ForwardRun } from '../peers/forwardRun';
 import type { ForwardSender } from '../peers/forwardRun';
 import type { PeerConnection } from '../peers/peerClients';
@@ -147,7 +147,7 @@
 		runner.submit(run);
 	}
 
-	private async sendAway(run: RequestRun, way: ForwardWay, tried: readonly InstanceId[]): Promise<void> {
+	private async sendAway(run: RequestRun, way: ForwardRoute, tried: readonly InstanceId[]): Promise<void> {
 		const { to } = way;
 		const startedMs = this.timers.getNow();
 		const service = run.call.head.service;
@@ -192,7 +192,7 @@
 		runner.submitReturned(run);
 	}
 
-	async forward(run: RequestRun, way: ForwardWay): Promise<ForwardEnd> {
+	async forward(run: RequestRun, way: ForwardRoute): Promise<ForwardEnd> {
 		const forward = new ForwardRun(run, way, this.surroundings.describeSender(), this.timers);
 		run.setAbandonHandler(() => {
 			forward.abandon();
--- a/src/entry/node/requests/ticketRouter.ts
+++ b/src/entry/node/requests/ticketRouter.ts
@@ -15,7 +15,7 @@
 import type { IAnswerSink } from '../../common/callers/answerSink';
 import { RequestEvent } from '../../common/requests/requestLife';
 import { TicketRouteKind } from '../../common/tickets/ticketRoute';
-import type { ForwardEnd, ForwardWay } from '../peers/forwardRun';
+import type { ForwardEnd, ForwardRoute } from '../peers/forwardRun';
 import { ForwardEndKind } from '../peers/forwardRun';
 import type { TicketService } from '../tickets/ticketService';
 import { RecordingSink } from './recordingSink';
@@ -25,7 +25,7 @@
 /** Opens runs and carries them to other entries. */
 export interface ITicketCarrier {
 	openRun(call: AcceptedCall, sink: IAnswerSink): RequestRun;
-	forward(run: RequestRun, way: ForwardWay): Promise<ForwardEnd>;
+	forward(run: RequestRun, way: ForwardRoute): Promise<ForwardEnd>;
 }
 
 /** Sends each call with a ticket on its way. */
--- a/src/entry/node/sleepDetector.ts
+++ b/src/entry/node/sleepDetector.ts
@@ -1,74 +1,76 @@
 /**
- * Notices that this process slept, and holds new requests until what it knows is fresh again. A frozen
- * process wakes up still believing what was true before: it would send requests to targets that left
- * minutes ago, by rules that were replaced meanwhile, and its callers would see connections refused. The
- * sockets that became ready during the sleep are served before any timer, so the first request checks the
- * clock itself and does not wait for a tick to find out.
+ * Detects that this process was suspended, and holds new requests until its state is up to date again. After a
+ * suspension the state is stale: requests would be sent to targets that left minutes ago, by a manifest that has
+ * been replaced, and callers would get refused connections. Sockets that became readable during the suspension
+ * are handled before any timer, so each request checks the clock itself instead of relying on the timer.
  */
 
 import { subscribeTo } from '../../base/common/channel';
 import { Disposable } from '../../base/common/lifecycle';
 import type { ITimerService } from '../../base/common/timerService';
 
-/** Asks for the newest state anew; ends when an answer came. */
+/** Requests the latest state; resolves when an answer has arrived. */
 export type RefreshState = () => Promise<void>;
 
-/** Hears of each sleep with its length in milliseconds. */
+/** Called after each suspension with its length in milliseconds. */
 export type ObserveSleep = (sleptMs: number) => void;
 
-const beatMs = 250;
+const checkIntervalMs = 250;
 
-/** Far more than a busy loop is late by, and less than targets and entries need to leave. */
-const sleepMs = 2_000;
+/**
+ * A larger gap between two checks counts as a suspension. Far longer than a busy event loop delays a timer, and
+ * shorter than targets and entries take to leave.
+ */
+const minSleepMs = 2_000;
 
 /**
- * How long requests are held for fresh state. Cut off from the platform and all peers, an entry has
- * nothing fresher to hope for and goes on with what it holds, as an isolated region must.
+ * How long requests are held at most. An entry that can reach neither the platform nor any peer continues with the
+ * state it has, since an isolated region has to keep serving requests.
  */
-const mostHoldMs = 1_000;
+const maxHoldMs = 1_000;
 
-/** Detects sleep, and says what new requests must wait for. */
+/** Detects suspensions and provides the promise that new requests wait for. */
 export class SleepDetector extends Disposable {
-	private beatenMs: number;
-	private refreshing: Promise<void> | undefined;
+	private lastCheckMs: number;
+	private refreshPromise: Promise<void> | undefined;
 
 	constructor(
-		private readonly refresh: RefreshState,
+		private readonly refreshState: RefreshState,
 		private readonly observeSleep: ObserveSleep,
 		private readonly timers: ITimerService,
 	) {
 		super();
-		this.beatenMs = timers.getNow();
+		this.lastCheckMs = timers.getNow();
 		this.register(
-			subscribeTo(timers.watchTicks(beatMs), () => {
+			subscribeTo(timers.watchTicks(checkIntervalMs), () => {
 				this.checkClock();
 			}),
 		);
 	}
 
-	/** Undefined while awake; otherwise ends when new requests may be decided on again. */
+	/** Undefined in normal operation; after a suspension, a promise that resolves when requests may be handled. */
 	findHold(): Promise<void> | undefined {
 		this.checkClock();
-		return this.refreshing;
+		return this.refreshPromise;
 	}
 
 	private checkClock(): void {
 		const nowMs = this.timers.getNow();
-		const sleptMs = nowMs - this.beatenMs;
-		this.beatenMs = nowMs;
-		if (sleptMs < sleepMs || this.refreshing !== undefined) {
+		const sleptMs = nowMs - this.lastCheckMs;
+		this.lastCheckMs = nowMs;
+		if (sleptMs < minSleepMs || this.refreshPromise !== undefined) {
 			return;
 		}
 		this.observeSleep(sleptMs);
-		this.refreshing = this.waitForRefresh().finally(() => {
-			this.refreshing = undefined;
+		this.refreshPromise = this.waitForRefresh().finally(() => {
+			this.refreshPromise = undefined;
 		});
 	}
 
 	private async waitForRefresh(): Promise<void> {
 		await new Promise<void>(resolve => {
-			const limit = this.timers.schedule(mostHoldMs, resolve);
-			void this.refresh().then(() => {
+			const limit = this.timers.schedule(maxHoldMs, resolve);
+			void this.refreshState().then(() => {
 				limit.dispose();
 				resolve();
 			});
--- a/src/entry/node/startHold.ts
+++ b/src/entry/node/startHold.ts
@@ -1,11 +1,11 @@
 /**
- * Holds the first requests of a process until it has read what it needs to serve them. Load pattern: all
- * instances are lost at once and come back while every caller tries again. A process listens before it has
- * read the configuration and the targets, some hundred milliseconds from a store in another region; refused
- * in that time, a caller spends the retry that it has on an entry that could have served it a moment later,
- * seen as a second of refusals after each loss of all instances.
+ * Holds the first requests of a process until it has read the state it needs to serve them. When all instances
+ * restart at once, every caller retries while the new processes are starting. A process listens before it has read
+ * the configuration and the targets, which takes some hundred milliseconds from a store in another region. Refusing
+ * requests in that time would use up the callers' only retry on an entry that could have served them a moment
+ * later, and would cause about a second of refusals after each loss of all instances.
  *
- * The hold ends by itself: a process that can't read its state tells callers so.
+ * The hold is limited in time: a process that cannot read its state refuses the requests with that reason.
  */
 
 import type { IDisposable } from '../../base/common/lifecycle';
@@ -13,52 +13,52 @@
 import type { ITimerService } from '../../base/common/timerService';
 
 /**
- * Counted from the start of the process, in milliseconds: a little more than the 0.6 s that the slowest of nine
- * processes took to read a store in another region, 55 ms away, in one replayed loss of all instances.
+ * Maximum hold after the start of the process. Slightly longer than the 0.6 s that the slowest of nine processes
+ * needed to read a store in a region 55 ms away after a simultaneous restart.
  */
-const mostHoldMs = 700;
-/** Shorter than a request takes, so that the hold adds little. */
-const lookMs = 10;
+const maxHoldMs = 700;
+/** Shorter than a typical request, so that polling adds little latency. */
+const pollIntervalMs = 10;
 
-/** Knows whether new requests must wait for the first state. */
+/** Holds requests until the initial state is available or the time limit is reached. */
 export class StartHold extends Disposable {
 	private readonly endsMs: number;
-	private look: IDisposable | undefined;
-	private waiting: Promise<void> | undefined;
-	private isOver = false;
+	private pollTimer: IDisposable | undefined;
+	private endPromise: Promise<void> | undefined;
+	private hasEnded = false;
 
 	constructor(
 		private readonly isStateRead: () => boolean,
 		private readonly timers: ITimerService,
 	) {
 		super();
-		this.endsMs = timers.getNow() + mostHoldMs;
+		this.endsMs = timers.getNow() + maxHoldMs;
 	}
 
 	override dispose(): void {
-		this.look?.dispose();
+		this.pollTimer?.dispose();
 		super.dispose();
 	}
 
-	/** Undefined once the state was read or is not to be waited for; else ends when that is so. */
+	/** Undefined once the state is available or the time limit is reached; until then, a promise for that moment. */
 	findHold(): Promise<void> | undefined {
-		if (this.isOver || this.checkOver()) {
+		if (this.hasEnded || this.checkEnded()) {
 			return undefined;
 		}
-		this.waiting ??= new Promise(resolve => {
+		this.endPromise ??= new Promise(resolve => {
 			this.watchState(resolve);
 		});
-		return this.waiting;
+		return this.endPromise;
 	}
 
-	private checkOver(): boolean {
-		this.isOver = this.isStateRead() || this.timers.getNow() >= this.endsMs;
-		return this.isOver;
+	private checkEnded(): boolean {
+		this.hasEnded = this.isStateRead() || this.timers.getNow() >= this.endsMs;
+		return this.hasEnded;
 	}
 
 	private watchState(resolve: () => void): void {
-		this.look = this.timers.schedule(lookMs, () => {
-			if (this.checkOver()) {
+		this.pollTimer = this.timers.schedule(pollIntervalMs, () => {
+			if (this.checkEnded()) {
 				resolve();
 				return;
 			}
--- a/src/entry/node/test/callHandler.test.ts
+++ b/src/entry/node/test/callHandler.test.ts
@@ -3,7 +3,7 @@
 import { RepeatRule } from '../../../core/manifest/common/manifest';
 import type { SeenAttempt } from '../requests/test/flowFixtures';
 import { beginAnswer } from '../requests/test/flowFixtures';
-import { createHandlerWorld } from './callHandlerFixtures';
+import { createHandlerFixture } from './callHandlerFixtures';
 
 function answer(attempt: SeenAttempt | undefined, text: string): void {
 	attempt!.observer.noteHandedOver();
@@ -11,21 +11,21 @@
 	attempt!.observer.noteEnded();
 }
 
-describe('what a call handler counts', () => {
-	it('tells tickets by what became of them', async () => {
-		const { handler, flow, issue, send, render } = createHandlerWorld();
+describe('metrics of a call handler', () => {
+	it('count tickets by result', async () => {
+		const { handler, flow, issue, send, render } = createHandlerFixture();
 		handler.findEntries({
 			service: 'bookings',
 			organisation: undefined,
 			previous: undefined,
 			tickets: 3,
 		} as never);
-		const spent = issue();
-		send(spent);
-		send(spent);
+		const ticket = issue();
+		send(ticket);
+		send(ticket);
 		answer(flow.attempts[0], 'paid');
-		send(spent);
-		send(spent, 'another call');
+		send(ticket);
+		send(ticket, 'another call');
 		send(issue('neighbour'));
 		send('1:forged');
 		const refused = send(issue());
@@ -44,8 +44,8 @@
 		]);
 	});
 
-	it('tells the wait in the queue, the gaps of the answer and the attempts by their ends', async () => {
-		const { flow, send, render } = createHandlerWorld(RepeatRule.Idempotent);
+	it('record queue waits, gaps in answers, and attempts by how they ended', async () => {
+		const { flow, send, render } = createHandlerFixture(RepeatRule.Idempotent);
 		send(undefined);
 		const attempt = flow.attempts[0]!;
 		attempt.observer.noteHandedOver();
@@ -61,10 +61,10 @@
 });
 
 describe('a ticket of another entry of the region', () => {
-	// Payments are carried to their issuers all day. Counted as sent to another region, they would use up the
-	// operator's budget for links on paper, and the alert on it would mean nothing.
-	it('is carried there without counting as sent away', async () => {
-		const { flow, issue, send, render } = createHandlerWorld();
+	// Calls with tickets are routinely forwarded to the entry that issued the ticket. Counted as sent to another
+	// region, they would inflate the link usage metric and make the alert on it useless.
+	it('is forwarded to that entry without counting as sent away', async () => {
+		const { flow, issue, send, render } = createHandlerFixture();
 		send(issue('neighbour'));
 		await flow.waitForPromises();
 		const page = await render();
@@ -73,12 +73,12 @@
 	});
 });
 
-describe('a leaving issuer', () => {
-	// An instance is being replaced while a payment runs on it, and the payment's connection breaks. Its
-	// caller sends it again. Only this instance knows of the payment; refused here, the household would
-	// never learn whether it was charged.
-	it('still joins and replays the calls that its tickets were spent on', () => {
-		const { flow, issue, send, setLeaving } = createHandlerWorld();
+describe('an entry that is leaving', () => {
+	// An instance is replaced while a payment runs on it, and the caller's connection breaks. Only this instance
+	// has a record of the payment: if it refused the caller's resend, the caller could not find out whether the
+	// payment was made.
+	it('still joins and replays calls whose tickets it issued', () => {
+		const { flow, issue, send, setLeaving } = createHandlerFixture();
 		const ticket = issue();
 		send(ticket);
 		setLeaving();
@@ -89,10 +89,10 @@
 		expect(flow.attempts).toHaveLength(1);
 	});
 
-	// A caller presents a fresh ticket to an instance that is being replaced. It is told not-run and pays by
-	// other means; a copy of the call that is still under way must not run after that.
-	it('refuses a fresh ticket for good, as not-run', () => {
-		const { flow, issue, send, setLeaving } = createHandlerWorld();
+	// A caller sends an unused ticket to an instance that is being replaced, is refused with not-run and pays by
+	// other means. A copy of the call that is still in flight must not run after that.
+	it('refuses an unused ticket permanently, as not-run', () => {
+		const { flow, issue, send, setLeaving } = createHandlerFixture();
 		const ticket = issue();
 		setLeaving();
 		for (const sink of [send(ticket), send(ticket)]) {
@@ -102,8 +102,8 @@
 		expect(flow.attempts).toHaveLength(0);
 	});
 
-	it('takes no new work for a ticket that its service does not need', () => {
-		const { flow, issue, send, setLeaving } = createHandlerWorld(RepeatRule.Idempotent);
+	it('refuses calls with a ticket for a service that does not need tickets', () => {
+		const { flow, issue, send, setLeaving } = createHandlerFixture(RepeatRule.Idempotent);
 		setLeaving();
 		expect(send(issue()).refusal?.kind).toBe(ErrorKind.Leaving);
 		expect(send(undefined).refusal?.kind).toBe(ErrorKind.Leaving);
--- a/src/entry/node/test/callHandlerFixtures.ts
+++ b/src/entry/node/test/callHandlerFixtures.ts
@@ -1,5 +1,5 @@
 /**
- * The call handler of an entry over scripted targets: the real ledger, router, journal and metrics, no network.
+ * Creates a call handler with scripted targets: the ledger, router, journal and metrics are real, the network is not.
  */
 
 import { SeededRandom } from '../../../base/common/random';
@@ -42,33 +42,33 @@
 const zone = 'kingston-a' as ZoneName;
 const neighbour = { own: { instance: 'entry-2' as InstanceId, boot: 'boot2' as BootId }, region };
 
-/** A peer that takes no connection. */
+/** A peer whose connections always fail. */
 const closedPeer = { session: { connect: () => Promise.resolve('error') } } as unknown as PeerConnection;
 
-/** A handler and what stands around it. */
-export interface HandlerWorld {
+/** A call handler and the components that tests inspect. */
+export interface HandlerFixture {
 	readonly handler: CallHandler;
 	readonly flow: Flow;
 	readonly journal: RingRequestJournal;
-	readonly held: HeldBytes;
-	/** The metrics page. */
+	readonly heldBytes: HeldBytes;
+	/** Renders the metrics page. */
 	render(): Promise<string>;
-	/** A ticket of this entry, or of another one of its region. */
+	/** Issues a ticket of this entry, or of another entry in its region. */
 	issue(issuer?: 'own' | 'neighbour'): string;
-	/** Sends a call as a caller's connection would; undefined where the head was refused. */
+	/** Sends a call as a caller's connection would. */
 	send(ticket: string | undefined, body?: string): RememberingSink;
 	setLeaving(): void;
 }
 
-/** Builds a handler before one scripted target. */
-export function createHandlerWorld(repeat = RepeatRule.AtMostOnce, mostHeldBytes = 1_000): HandlerWorld {
+/** Creates a handler with one scripted target. */
+export function createHandlerFixture(repeat = RepeatRule.AtMostOnce, maxHeldBytes = 1_000): HandlerFixture {
 	const flow = createFlow(1, repeat);
 	const { timers } = flow;
 	const metrics = new EntryMetrics({ version: '1', instance: own.instance, region, zone });
 	metrics.setServices(['bookings']);
 	const journal = new RingRequestJournal(100, () => new Date(0));
-	const held = new HeldBytes(mostHeldBytes);
-	const runs = new ActiveRuns(journal, metrics, held, timers);
+	const heldBytes = new HeldBytes(maxHeldBytes);
+	const runs = new ActiveRuns(journal, metrics, heldBytes, timers);
 	const signer = new HmacTicketSigner('a key of today');
 	const tickets = new TicketService(
 		{ own, region },
@@ -77,7 +77,7 @@
 		new AtMostOnceLedger(own, { mostAnswerBytes: 1_000, mostTickets: 10 }),
 		{ findEntry: instance => (instance === neighbour.own.instance ? neighbour : undefined) },
 	);
-	const router = new RequestRouter(createSurroundings(flow, runs, metrics), tickets, timers);
+	const router = new RequestRouter(createRouterContext(flow, runs, metrics), tickets, timers);
 	let isLeaving = false;
 	const manifest = createFlowManifest(repeat);
 	const accepted = { version: 1 as ManifestVersion, digest: '', document: '', manifest, source: 'platform' };
@@ -100,7 +100,7 @@
 			describeCandidate: () => createCandidate(own.instance),
 			isLeaving: () => isLeaving,
 			isRefusing: () => isLeaving,
-			getEndsMs: () => Number.POSITIVE_INFINITY,
+			getLatestEndMs: () => Number.POSITIVE_INFINITY,
 		},
 		{ findHold: () => undefined },
 		tickets,
@@ -115,7 +115,7 @@
 		handler,
 		flow,
 		journal,
-		held,
+		heldBytes,
 		render: () => metrics.render(),
 		issue: (issuer = 'own') =>
 			issuer === 'own'
@@ -128,7 +128,7 @@
 	};
 }
 
-function createSurroundings(flow: Flow, runs: ActiveRuns, metrics: EntryMetrics): IRouterSurroundings {
+function createRouterContext(flow: Flow, runs: ActiveRuns, metrics: EntryMetrics): IRouterSurroundings {
 	return {
 		getRunner: () => flow.runner,
 		getSendAwayPolicy: () => new StayHomePolicy(),
@@ -168,7 +168,7 @@
 	const sink = new RememberingSink();
 	const plan = handler.plan(head);
 	if (plan.isErr()) {
-		sink.refuse(head.ticket === undefined ? plan.error : handler.refuseTicketed(head.ticket, plan.error));
+		sink.refuse(head.ticket === undefined ? plan.error : handler.refuseTicketedCall(head.ticket, plan.error));
 		return sink;
 	}
 	const id: RequestId = handler.createRequestId();
--- a/src/entry/node/test/entryCertificates.test.ts
+++ b/src/entry/node/test/entryCertificates.test.ts
@@ -49,7 +49,7 @@
 }
 
 describe('EntryCertificates', () => {
-	it('gives each port what its settings say, and shows the expiry', async () => {
+	it('enables TLS per port by the settings, and exports the expiry', async () => {
 		const folder = owned.add(new CertificateFolder(FixtureName.First));
 		const metrics = createMetrics();
 		const certificates = owned.add(new EntryCertificates(createSettings(folder), createTrail(), metrics));
@@ -58,9 +58,9 @@
 		expect(await metrics.render()).toMatch(/^anvilroad_certificate_expiry_timestamp_seconds \d{10}$/m);
 	});
 
-	// The key on an instance belongs to another certificate. An entry that started all the same would be
-	// ready and reach no peer; it must not start, and must say which file is wrong.
-	it('does not start with certificates that cannot be used', () => {
+	// The private key on an instance belongs to another certificate. An entry that started anyway would report
+	// ready but reach no peer, so it must fail to start and name the wrong file.
+	it('fails to start with certificates that cannot be used', () => {
 		const folder = owned.add(new CertificateFolder(FixtureName.First));
 		folder.putKey(FixtureName.Second);
 		expect(() => new EntryCertificates(createSettings(folder), createTrail(), createMetrics())).toThrow(
--- a/src/entry/node/test/sleepDetector.test.ts
+++ b/src/entry/node/test/sleepDetector.test.ts
@@ -1,21 +1,21 @@
 import { ManualTimerService } from '../../../base/common/manualTimerService';
 import { SleepDetector } from '../sleepDetector';
 
-interface Sleeper {
+interface DetectorFixture {
 	readonly timers: ManualTimerService;
-	readonly guard: SleepDetector;
-	readonly slept: number[];
+	readonly detector: SleepDetector;
+	readonly sleepDurationsMs: number[];
 	answerRefresh: () => void;
 }
 
-function createSleeper(): Sleeper {
+function createDetector(): DetectorFixture {
 	const timers = new ManualTimerService();
 	const slept: number[] = [];
-	const sleeper: Sleeper = {
+	const sleeper: DetectorFixture = {
 		timers,
-		slept,
+		sleepDurationsMs: slept,
 		answerRefresh: () => undefined,
-		guard: new SleepDetector(
+		detector: new SleepDetector(
 			() =>
 				new Promise(resolve => {
 					sleeper.answerRefresh = resolve;
@@ -28,34 +28,34 @@
 }
 
 describe('SleepDetector', () => {
-	it('holds nothing back while the process is awake', () => {
-		const { timers, guard, slept } = createSleeper();
+	it('holds no requests while the process is running normally', () => {
+		const { timers, detector: guard, sleepDurationsMs: slept } = createDetector();
 		timers.advance(60_000);
 		expect(guard.findHold()).toBeUndefined();
 		expect(slept).toEqual([]);
 	});
 
-	it('holds the first request after a sleep, before any tick, until fresh state came', async () => {
-		// A process is frozen for a minute while a target leaves. The connection of a caller is the first
-		// thing it sees on waking; decided on at once, the request would go to the target that left.
-		const sleeper = createSleeper();
+	it('holds the first request after a suspension until the state is refreshed, without waiting for a timer', async () => {
+		// A process is suspended for a minute while a target leaves. A caller's request is the first event after
+		// it resumes. Handled immediately, the request would be sent to the target that left.
+		const sleeper = createDetector();
 		sleeper.timers.advance(1_000);
 		sleeper.timers.advanceAsleep(60_000);
-		const hold = sleeper.guard.findHold();
+		const hold = sleeper.detector.findHold();
 		expect(hold).toBeDefined();
-		expect(sleeper.slept).toHaveLength(1);
+		expect(sleeper.sleepDurationsMs).toHaveLength(1);
 		sleeper.answerRefresh();
 		await hold;
-		expect(sleeper.guard.findHold()).toBeUndefined();
+		expect(sleeper.detector.findHold()).toBeUndefined();
 	});
 
-	it('goes on with what it holds where nobody answers', async () => {
-		// The region was cut off meanwhile. Held for good, its own crews would get no answer at all.
-		const sleeper = createSleeper();
+	it('continues with the state it has if no answer arrives', async () => {
+		// The region was isolated meanwhile. Without a time limit its own callers would never get an answer.
+		const sleeper = createDetector();
 		sleeper.timers.advanceAsleep(60_000);
-		const hold = sleeper.guard.findHold();
+		const hold = sleeper.detector.findHold();
 		sleeper.timers.advance(1_000);
 		await hold;
-		expect(sleeper.guard.findHold()).toBeUndefined();
+		expect(sleeper.detector.findHold()).toBeUndefined();
 	});
 });
--- a/src/entry/node/test/startHold.test.ts
+++ b/src/entry/node/test/startHold.test.ts
@@ -26,9 +26,9 @@
 }
 
 describe('the first requests of a process', () => {
-	// All instances were lost and come back. A caller reaches one that listens and has not read its
-	// configuration yet; refused, the caller would have spent its only retry.
-	it('wait until the state is read', async () => {
+	// All instances restart. A caller reaches one that listens but has not read its configuration yet. A refusal
+	// would use up the caller's only retry.
+	it('wait until the state is available', async () => {
 		const { timers, hold, readState } = createStart();
 		let isServed = false;
 		void hold.findHold()?.then(() => {
@@ -42,19 +42,20 @@
 		expect(hold.findHold()).toBeUndefined();
 	});
 
-	// The store is down when the process starts. Callers must be told at once where to turn, not held.
-	it('do not wait for state that does not come', async () => {
+	// The store is down when the process starts. Callers must be refused soon and named other entries, not held
+	// indefinitely.
+	it('are held only for a limited time if the state does not become available', async () => {
 		const { timers, hold } = createStart();
-		let isTold = false;
+		let hasEnded = false;
 		void hold.findHold()?.then(() => {
-			isTold = true;
+			hasEnded = true;
 		});
 		await advance(timers, 710);
-		expect(isTold).toBe(true);
+		expect(hasEnded).toBe(true);
 		expect(hold.findHold()).toBeUndefined();
 	});
 
-	it('are not held where the state is read already', () => {
+	it('are not held if the state is already available', () => {
 		const { hold, readState } = createStart();
 		readState();
 		expect(hold.findHold()).toBeUndefined();
--- a/src/entry/node/tickets/createTicketService.ts
+++ b/src/entry/node/tickets/createTicketService.ts
@@ -1,5 +1,5 @@
 /**
- * Puts the ticket work of one start of one entry together, by its settings.
+ * Creates the ticket service for one process start of an entry from its settings.
  */
 
 import { randomBytes } from 'node:crypto';
@@ -11,29 +11,29 @@
 import { HmacTicketSigner } from './hmacTicketSigner';
 import { TicketService } from './ticketService';
 
-/** At 256 bytes a spent ticket, some 50 MB at the most. */
-const mostSpentTickets = 200_000;
-const ownKeyBytes = 32;
+/** Limits the memory for used tickets to some 50 MB, at 256 bytes for each. */
+const maxUsedTickets = 200_000;
+const generatedKeyBytes = 32;
 
-/** Bytes of answers kept for resends. */
-const mostKeptAnswerBytes = 33_554_432;
+/** Limits the memory for answers that are kept to be replayed to resent calls. */
+const maxCachedAnswerBytes = 33_554_432;
 
-/** Makes the service; nothing of an earlier boot's tickets is known to it. */
+/** Creates the service. It has no record of tickets that earlier process starts issued. */
 export function createTicketService(
 	settings: EntrySettings,
 	boot: BootId,
 	directory: IEntryDirectory,
 ): TicketService {
 	const { instance, tickets } = settings;
-	const own = { instance: instance.id, boot };
-	// Where no key is shared no tickets are issued, and one of another boot must not be taken for its own.
-	const key = tickets.key ?? randomBytes(ownKeyBytes).toString('hex');
+	const localBoot = { instance: instance.id, boot };
+	// Without a shared key no tickets are issued. The random key keeps tickets of other processes from being accepted.
+	const key = tickets.key ?? randomBytes(generatedKeyBytes).toString('hex');
 	const signer = new HmacTicketSigner(key, tickets.previous_key);
 	return new TicketService(
-		{ own, region: instance.region },
+		{ own: localBoot, region: instance.region },
 		signer,
-		new TicketIssuer(own, signer, tickets.lifetime_ms),
-		new AtMostOnceLedger(own, { mostAnswerBytes: mostKeptAnswerBytes, mostTickets: mostSpentTickets }),
+		new TicketIssuer(localBoot, signer, tickets.lifetime_ms),
+		new AtMostOnceLedger(localBoot, { mostAnswerBytes: maxCachedAnswerBytes, mostTickets: maxUsedTickets }),
 		directory,
 	);
 }
--- a/src/entry/node/tickets/hmacTicketSigner.ts
+++ b/src/entry/node/tickets/hmacTicketSigner.ts
@@ -1,24 +1,24 @@
 /**
- * The keyed check of tickets: a truncated HMAC-SHA-256.
+ * Signs and verifies tickets with a truncated HMAC-SHA-256.
  */
 
 import { createHmac, timingSafeEqual } from 'node:crypto';
 import type { ITicketSigner } from '../../common/tickets/ticket';
 
-/** 128 bits: guessing one check takes 2^127 tries on average, and the ticket stays short. */
-const checkBytes = 16;
+/** 128 bits: guessing a signature takes 2^127 attempts on average, and tickets stay short. */
+const signatureBytes = 16;
 
-function computeCheck(key: string, text: string): Buffer {
-	return createHmac('sha256', key).update(text).digest().subarray(0, checkBytes);
+function computeSignature(key: string, text: string): Buffer {
+	return createHmac('sha256', key).update(text).digest().subarray(0, signatureBytes);
 }
 
-function isSameCheck(expected: Buffer, given: Buffer): boolean {
+function isSameSignature(expected: Buffer, given: Buffer): boolean {
 	return expected.length === given.length && timingSafeEqual(expected, given);
 }
 
 /**
- * Signs with the current key and accepts the previous one too, since entries take a new key over one after
- * the other and tickets issued before must keep their meaning until they expire.
+ * Signs with the current key, and also accepts signatures made with the previous one: entries switch to a new key one
+ * after another, and tickets issued before must remain valid until they expire.
  */
 export class HmacTicketSigner implements ITicketSigner {
 	constructor(
@@ -27,17 +27,17 @@
 	) {}
 
 	sign(text: string): string {
-		return computeCheck(this.currentKey, text).toString('base64url');
+		return computeSignature(this.currentKey, text).toString('base64url');
 	}
 
-	verify(text: string, check: string): boolean {
-		const given = Buffer.from(check, 'base64url');
-		if (given.toString('base64url') !== check) {
+	verify(text: string, signature: string): boolean {
+		const given = Buffer.from(signature, 'base64url');
+		if (given.toString('base64url') !== signature) {
 			return false;
 		}
-		const isCurrent = isSameCheck(computeCheck(this.currentKey, text), given);
+		const isCurrent = isSameSignature(computeSignature(this.currentKey, text), given);
 		const isPrevious =
-			this.previousKey !== undefined && isSameCheck(computeCheck(this.previousKey, text), given);
+			this.previousKey !== undefined && isSameSignature(computeSignature(this.previousKey, text), given);
 		return isCurrent || isPrevious;
 	}
 }
--- a/src/entry/node/tickets/test/hmacTicketSigner.test.ts
+++ b/src/entry/node/tickets/test/hmacTicketSigner.test.ts
@@ -10,7 +10,7 @@
 const signer = new HmacTicketSigner('a key of today');
 
 describe('tickets with HmacTicketSigner', () => {
-	it('come back as they were issued, numbered from 1, with the issuer as their clock', () => {
+	it('are parsed as they were issued, numbered from 1, with an expiry by the clock of the issuer', () => {
 		const issuer = new TicketIssuer(own, signer, 120_000);
 		const texts = issuer.issueBatch(2, 5.7);
 		expect(texts.map(text => parseTicket(text, signer)._unsafeUnwrap())).toEqual([
@@ -19,8 +19,7 @@
 		]);
 	});
 
-	// A caller alters a spent ticket, so that it passes for a fresh one. If it were taken, the call would
-	// run a second time.
+	// A caller alters a used ticket to make it look unused. If it were accepted, the call would run a second time.
 	it('are refused after any change of a character', () => {
 		const text = new TicketIssuer(own, signer, 120_000).issue(0);
 		const change = fc.record({ at: fc.nat(text.length - 1), to: fc.string({ minLength: 0, maxLength: 2 }) });
@@ -41,9 +40,9 @@
 		}
 	});
 
-	// Entries take a new key over one after the other, and one that has not yet got it cannot read a good
-	// ticket. Told not-run, its caller would pay again though the issuer may have run the call.
-	it('outlive one change of the key, and are unknown to an entry that lacks it', () => {
+	// Entries switch to a new key one after another, and an entry without the new key cannot verify a valid ticket.
+	// With the outcome not-run, the caller would pay again although the issuer may have run the call.
+	it('remain valid after one key change, and have the outcome unknown at an entry without the key', () => {
 		const text = new TicketIssuer(own, signer, 120_000).issue(0);
 		expect(parseTicket(text, new HmacTicketSigner('of tomorrow', 'a key of today')).isOk()).toBe(true);
 		const error = parseTicket(text, new HmacTicketSigner('of later', 'of tomorrow'))._unsafeUnwrapErr();
