--- a/src/entry/node/tickets/ticketService.ts
+++ b/src/entry/node/tickets/ticketService.ts
@@ -1,6 +1,6 @@
 /**
- * Everything this entry does with tickets: hands out its own, reads those that come back, and decides with
- * the ledger what a send gets. It joins the pure parts with the hash of a call's body.
+ * Issues the tickets of this entry, verifies tickets that calls carry, and uses the ledger to decide how each call is
+ * handled. It connects the modules without I/O to the hash of a call's body.
  */
 
 import { createHash } from 'node:crypto';
@@ -20,16 +20,16 @@
 import { isSameBoot, refuseAsOther, decideTicketRoute } from '../../common/tickets/ticketRoute';
 import type { AcceptedCall } from '../requests/requestRun';
 
-/** What a send that carried a ticket is told when it was refused unread, and what became of the ticket. */
-export interface UnreadRefusal {
+/** The error returned for a call with a ticket that was refused before its body was read, and the ticket's result. */
+export interface UnreadCallRefusal {
 	readonly error: RequestError;
 	readonly result: TicketResult;
 }
 
-/** The ticket work of one start of one entry. */
+/** Handles tickets for one process start of an entry. */
 export class TicketService {
 	constructor(
-		private readonly own: KnownEntry,
+		private readonly localEntry: KnownEntry,
 		private readonly signer: ITicketSigner,
 		private readonly issuer: TicketIssuer,
 		private readonly ledger: AtMostOnceLedger,
@@ -40,25 +40,25 @@
 		return this.issuer.issueBatch(count, nowMs);
 	}
 
-	/** Whether this boot issued the ticket; false for one that cannot be read. */
+	/** Whether this process issued the ticket; false if the ticket is invalid. */
 	isOwn(ticketText: string): boolean {
 		return parseTicket(ticketText, this.signer)
-			.map(ticket => isSameBoot(ticket.issuer, this.own.own))
+			.map(ticket => isSameBoot(ticket.issuer, this.localEntry.own))
 			.unwrapOr(false);
 	}
 
-	countSpent(): number {
+	countUsedTickets(): number {
 		return this.ledger.countSpent();
 	}
 
-	/** Where a ticketed call goes; a forged ticket goes nowhere. */
+	/** Finds the entry that must handle a call with a ticket; an error if the ticket is invalid. */
 	findRoute(ticketText: string, isForwarded: boolean): Result<TicketRoute, RequestError> {
 		return parseTicket(ticketText, this.signer).map(ticket =>
-			decideTicketRoute(ticket, this.own, this.directory, isForwarded),
+			decideTicketRoute(ticket, this.localEntry, this.directory, isForwarded),
 		);
 	}
 
-	/** Takes in a ticket of this boot with the call it came with. */
+	/** Records the call that carries a ticket of this process, and decides how it is handled. */
 	receive(ticketText: string, call: AcceptedCall, nowMs: number): ReceiveDecision {
 		const ticket = parseTicket(ticketText, this.signer);
 		if (ticket.isErr()) {
@@ -68,20 +68,20 @@
 	}
 
 	/**
-	 * Refuses a send that carries a ticket before its body was read, and gives the fault as the caller may
-	 * be told it: an earlier copy of the same call may have run, or may still be on its way.
+	 * Refuses a call with a ticket before its body is read. The returned error states the outcome with regard to
+	 * earlier copies of the same call, which may have run or may still arrive.
 	 */
-	refuseUnread(ticketText: string, error: RequestError, nowMs: number): UnreadRefusal {
+	refuseUnreadCall(ticketText: string, error: RequestError, nowMs: number): UnreadCallRefusal {
 		const ticket = parseTicket(ticketText, this.signer);
 		if (ticket.isErr()) {
 			return { error, result: TicketResult.Rejected };
 		}
-		if (!isSameBoot(ticket.value.issuer, this.own.own)) {
+		if (!isSameBoot(ticket.value.issuer, this.localEntry.own)) {
 			return { error: refuseAsOther(error), result: TicketResult.Rejected };
 		}
-		const told = this.ledger.refuseUnread(ticket.value, error, nowMs);
-		const isUnrun = getOutcomeOf(told) === Outcome.NotRun;
-		return { error: told, result: isUnrun ? TicketResult.Refused : TicketResult.Rejected };
+		const reported = this.ledger.refuseUnread(ticket.value, error, nowMs);
+		const isNotRun = getOutcomeOf(reported) === Outcome.NotRun;
+		return { error: reported, result: isNotRun ? TicketResult.Refused : TicketResult.Rejected };
 	}
 }
 
