--- a/src/bin/test/docs.test.ts
+++ b/src/bin/test/docs.test.ts
@@ -107,7 +107,7 @@
 			passes,
 		]);
 		const expected = Object.values(ErrorKind).map(kind => {
-			const { status, outcome, isPassing } = errorAnswers[kind];
+			const { status, outcome, isTemporary: isPassing } = errorAnswers[kind];
 			return [kind, String(status), outcome, isPassing ? 'yes' : ''];
 		});
 		expect(documented).toEqual(expected);
--- a/src/core/audit/test/ringAuditTrail.test.ts
+++ b/src/core/audit/test/ringAuditTrail.test.ts
@@ -23,20 +23,20 @@
 describe('RingAuditTrail', () => {
 	test.prop([fc.integer({ min: 1, max: 20 }), fc.nat({ max: 60 }), fc.nat({ max: 60 })], { seed: 6 })(
 		'lists the newest records, oldest first, and never more than its capacity',
-		(capacity, written, most) => {
+		(capacity, written, maxRecords) => {
 			const trail = createTrail(capacity);
 			for (let index = 1; index <= written; index++) {
 				trail.record(createChange(`target-${index}`));
 			}
 			const expected = Array.from({ length: written }, (_, index) => index + 1).slice(-capacity);
 			expect(trail.list().map(record => record.sequence)).toEqual(expected);
-			expect(trail.list(most).map(record => record.subject)).toEqual(
-				most === 0 ? [] : expected.slice(-most).map(sequence => `target-${sequence}`),
+			expect(trail.list(maxRecords).map(record => record.subject)).toEqual(
+				maxRecords === 0 ? [] : expected.slice(-maxRecords).map(sequence => `target-${sequence}`),
 			);
 		},
 	);
 
-	it('tells subscribers of each record and nobody after disposal', () => {
+	it('emits each record to subscribers until disposed', () => {
 		const trail = createTrail(2);
 		const seen: string[] = [];
 		subscribeTo(trail.onDidRecord, record => seen.push(`${record.sequence} ${record.subject}`));
--- a/src/core/errors/common/errorKinds.ts
+++ b/src/core/errors/common/errorKinds.ts
@@ -1,12 +1,12 @@
 /**
- * The closed list of error kinds and the table from a kind to the answer a caller gets. Code that refuses
- * or fails a request names a kind and nothing else; status, outcome and advice come from here, so two
- * places cannot answer the same fault differently.
+ * The closed list of error kinds, with the answer for each kind. Code that refuses or fails a request only selects a
+ * kind. Its HTTP status, outcome and message are defined here, so that the same error is always answered in the same
+ * way.
  */
 
 import { Outcome } from './outcome';
 
-/** Every way in which a request can end without its whole answer. */
+/** All reasons for which a request can end without a complete answer. */
 export enum ErrorKind {
 	UnknownRoute = 'unknown-route',
 	UnknownService = 'unknown-service',
@@ -44,25 +44,25 @@
 	Internal = 'internal',
 }
 
-/** What the table says of a kind. */
+/** The answer to a request that ended with an error kind. */
 export interface ErrorAnswer {
 	/** HTTP status of the answer. */
 	readonly status: number;
-	/** What the kind says about the run; a stronger claim is never made for it. */
+	/** Whether the request may have run. No answer with this kind makes a stronger claim. */
 	readonly outcome: Outcome;
-	/** Whether the same request can succeed later; such answers carry `Retry-After`. */
-	readonly isPassing: boolean;
+	/** Whether the same request can succeed later; such answers have a `Retry-After` header. */
+	readonly isTemporary: boolean;
 	/** One sentence for the caller. */
 	readonly message: string;
 }
 
-function createAnswer(status: number, outcome: Outcome, isPassing: boolean, message: string): ErrorAnswer {
-	return { status, outcome, isPassing, message };
+function createAnswer(status: number, outcome: Outcome, isTemporary: boolean, message: string): ErrorAnswer {
+	return { status, outcome, isTemporary, message };
 }
 
 const { NotRun, Unknown } = Outcome;
 
-/** From kind to answer; the only place that gives a status or an outcome to a fault. */
+/** The answer for each kind; the only place that defines the status and the outcome of an error. */
 export const errorAnswers: Readonly<Record<ErrorKind, ErrorAnswer>> = {
 	[ErrorKind.UnknownRoute]: createAnswer(
 		404,
@@ -98,7 +98,12 @@
 	[ErrorKind.MalformedHeader]: createAnswer(400, NotRun, false, 'A request header cannot be read.'),
 	[ErrorKind.HeadTooLarge]: createAnswer(431, NotRun, false, 'The request head is larger than allowed.'),
 	[ErrorKind.BodyTooLarge]: createAnswer(413, NotRun, false, 'The request body is larger than allowed.'),
-	[ErrorKind.BodyIncomplete]: createAnswer(400, NotRun, false, 'The request body ended before its end.'),
+	[ErrorKind.BodyIncomplete]: createAnswer(
+		400,
+		NotRun,
+		false,
+		'The request body ended before it was complete.',
+	),
 	[ErrorKind.WrongRegion]: createAnswer(
 		421,
 		NotRun,
@@ -158,19 +163,19 @@
 		503,
 		NotRun,
 		true,
-		'Every target that was asked refused the request unrun.',
+		'Every target that was asked refused the request without running it.',
 	),
 	[ErrorKind.TargetFailed]: createAnswer(
 		502,
 		Unknown,
 		false,
-		'The target failed before its answer was whole.',
+		'The target failed before its answer was complete.',
 	),
 	[ErrorKind.TargetSilent]: createAnswer(
 		504,
 		Unknown,
 		false,
-		'The target fell silent before its answer was whole.',
+		'The target stopped sending before its answer was complete.',
 	),
 	[ErrorKind.AnswerCrossed]: createAnswer(
 		502,
@@ -195,13 +200,13 @@
 		499,
 		Unknown,
 		false,
-		'The caller went away before its answer was whole.',
+		'The caller disconnected before its answer was complete.',
 	),
 	[ErrorKind.Internal]: createAnswer(500, Unknown, false, 'A fault of the entry itself.'),
 };
 
-/** An entry as lookups and refusals name it to callers. */
-export interface NamedEntry {
+/** An entry that callers can send requests to, as listed in lookups and refusals. */
+export interface AdvertisedEntry {
 	readonly instance: string;
 	readonly region: string;
 	readonly zone: string;
@@ -209,29 +214,32 @@
 	readonly url: string;
 }
 
-/** A fault with what an operator needs to understand it; the answer to the caller follows from the kind. */
+/** An error with details for operators; the answer to the caller is determined by the kind. */
 export interface RequestError {
 	readonly kind: ErrorKind;
-	/** For people: which header, which target, which limit. Holds no part of a body. */
+	/** The details as text: which header, which target, which limit. Contains no part of a body. */
 	readonly detail: string;
-	/** When the caller should come back, in milliseconds from now, for kinds that pass. */
+	/** Milliseconds after which the caller should retry, for temporary errors. */
 	readonly retryAfterMs?: number;
-	/** Overrides the table downwards only: an issuer's `not-run` becomes `unknown` at an entry that cannot know. */
+	/**
+	 * Replaces the outcome of the kind by `unknown`, never by a stronger claim. Used, for example, if an entry cannot
+	 * confirm that the issuer of a ticket did not run the request.
+	 */
 	readonly isOutcomeUnknown?: boolean;
-	/** Entries that the caller should send to instead. */
-	readonly entries?: readonly NamedEntry[];
+	/** The entries to which the caller should send the request instead. */
+	readonly entries?: readonly AdvertisedEntry[];
 }
 
-/** Makes a fault; the optional parts come from the caller of this function. */
+/** Creates an error; `options` are the optional properties. */
 export function createRequestError(
 	kind: ErrorKind,
 	detail: string,
-	more: Omit<RequestError, 'kind' | 'detail'> = {},
+	options: Omit<RequestError, 'kind' | 'detail'> = {},
 ): RequestError {
-	return { kind, detail, ...more };
+	return { kind, detail, ...options };
 }
 
-/** The outcome a caller is told for a fault. */
+/** Returns the outcome in the answer to the caller. */
 export function getOutcomeOf(error: RequestError): Outcome {
 	return error.isOutcomeUnknown === true ? Outcome.Unknown : errorAnswers[error.kind].outcome;
 }
--- a/src/core/errors/common/outcome.ts
+++ b/src/core/errors/common/outcome.ts
@@ -1,13 +1,13 @@
 /**
- * What a caller is told about the run of its request. The list is closed.
+ * Whether a request ran, as reported to its caller. The list is closed.
  */
 
-/** The three outcomes, as they stand in the `anvilroad-outcome` header. */
+/** The values of the `anvilroad-outcome` header. */
 export enum Outcome {
-	/** The whole answer of the one run is, or is being, delivered. */
+	/** The complete answer of one run was delivered or is being delivered. */
 	Answered = 'answered',
-	/** No attempt can have run, now or later. */
+	/** No attempt has run or will run. */
 	NotRun = 'not-run',
-	/** It may have run; only the service knows. */
+	/** An attempt may have run; only the service can determine whether one did. */
 	Unknown = 'unknown',
 }
--- a/src/core/ids/common/ids.ts
+++ b/src/core/ids/common/ids.ts
@@ -1,16 +1,16 @@
 /**
- * The ids that travel between parts and processes, each with its own type.
+ * The ids that modules and processes exchange. Each has its own type, so that ids are not mixed up.
  */
 
 import type { Brand } from '../../../base/common/brand';
 
-/** Given by the entry that first takes a request in; names it in answers, logs and `anvilroadctl explain`. */
+/** Assigned by the entry that first receives a request; used in answers, logs and `anvilroadctl explain`. */
 export type RequestId = Brand<string, 'RequestId'>;
-/** One attempt of a request at one target: the request's id and the attempt's number. */
+/** Identifies one attempt to run a request at a target: the request id and the number of the attempt. */
 export type AttemptId = Brand<string, 'AttemptId'>;
-/** An instance's name, from its settings or the platform's list; it outlives restarts. */
+/** The name of an instance, from its settings or the platform's instance list; unchanged by restarts. */
 export type InstanceId = Brand<string, 'InstanceId'>;
-/** One start of one instance; drawn at random at the start, so a restart is never taken for its predecessor. */
+/** Identifies one start of an instance. A random value, so that a restarted instance is not mistaken for the old one. */
 export type BootId = Brand<string, 'BootId'>;
 export type TargetId = Brand<string, 'TargetId'>;
 export type OrganisationName = Brand<string, 'OrganisationName'>;
@@ -19,14 +19,17 @@
 export type RegionName = Brand<string, 'RegionName'>;
 export type ZoneName = Brand<string, 'ZoneName'>;
 export type ModelName = Brand<string, 'ModelName'>;
-/** The platform's version of a manifest; the only order that manifests have. */
+/** The version of a manifest, assigned by the platform. Manifests are ordered by version only. */
 export type ManifestVersion = Brand<number, 'ManifestVersion'>;
-/** Hex hash of a body, or of a service, an organisation and a body. */
+/** The hash of a body, or of a service, an organisation and a body, in hexadecimal. */
 export type Fingerprint = Brand<string, 'Fingerprint'>;
 
 /**
- * Names the n-th attempt of a request, counted from 1. Two entries can make attempts of one request, the
- * one that took it in and the one it was forwarded to; their attempts must not share a name.
+ * Creates the id of an attempt. Two entries can make attempts for the same request: the entry that received the
+ * request and the entry that it was forwarded to. Their ids must differ.
+ *
+ * @param attemptNumber Starts at 1.
+ * @param isForwarded Whether the attempt is made by the entry that the request was forwarded to.
  */
 export function createAttemptId(
 	requestId: RequestId,
--- a/src/core/requests/common/requestClass.ts
+++ b/src/core/requests/common/requestClass.ts
@@ -1,16 +1,16 @@
 /**
- * The classes of requests: how urgent a caller says its request is.
+ * The request classes: the urgency that a caller sets for a request.
  */
 
 export enum RequestClass {
-	/** A person waits for it. */
+	/** A person is waiting for the answer. */
 	Urgent = 'urgent',
 	Normal = 'normal',
-	/** Long work that may wait for room. */
+	/** Long-running work that can wait for capacity. */
 	Draft = 'draft',
 }
 
-/** All classes, the most urgent first. */
+/** All classes, most urgent first. */
 export const requestClasses: readonly RequestClass[] = [
 	RequestClass.Urgent,
 	RequestClass.Normal,
@@ -19,7 +19,7 @@
 
 const classesByName: ReadonlyMap<string, RequestClass> = new Map(requestClasses.map(name => [name, name]));
 
-/** The class of a name, or undefined where there is none. */
+/** Returns the class with a name, or undefined if there is none. */
 export function findRequestClass(name: string): RequestClass | undefined {
 	return classesByName.get(name);
 }
--- a/src/entry/common/callers/lookupAnswer.ts
+++ b/src/entry/common/callers/lookupAnswer.ts
@@ -5,7 +5,7 @@
 
 import type { Result } from 'neverthrow';
 import { err, ok } from 'neverthrow';
-import type { NamedEntry, RequestError } from '../../../core/errors/common/errorKinds';
+import type { AdvertisedEntry, RequestError } from '../../../core/errors/common/errorKinds';
 import { createRequestError, ErrorKind } from '../../../core/errors/common/errorKinds';
 import type { InstanceId, OrganisationName, ServiceName } from '../../../core/ids/common/ids';
 
@@ -26,7 +26,7 @@
 	/** How long the caller may go by this answer, in milliseconds. */
 	readonly validForMs: number;
 	/** The best entry first. */
-	readonly entries: readonly NamedEntry[];
+	readonly entries: readonly AdvertisedEntry[];
 	/** Each good for one at-most-once call, at any entry of the region. */
 	readonly tickets: readonly string[];
 }
--- a/src/entry/common/callers/refusal.ts
+++ b/src/entry/common/callers/refusal.ts
@@ -3,7 +3,7 @@
  * the fault's kind. Callers' connections and the replies to parse errors use the same one.
  */
 
-import type { NamedEntry, RequestError } from '../../../core/errors/common/errorKinds';
+import type { AdvertisedEntry, RequestError } from '../../../core/errors/common/errorKinds';
 import { errorAnswers, getOutcomeOf } from '../../../core/errors/common/errorKinds';
 import type { Outcome } from '../../../core/errors/common/outcome';
 import { headers } from '../../../core/headers/common/headers';
@@ -18,7 +18,7 @@
 	readonly detail: string;
 	readonly requestId: RequestId;
 	readonly retryAfterMs?: number;
-	readonly entries?: readonly NamedEntry[];
+	readonly entries?: readonly AdvertisedEntry[];
 }
 
 /** A refusal, ready to be written. */
@@ -36,7 +36,7 @@
 export function createRefusal(requestId: RequestId, error: RequestError): Refusal {
 	const answer = errorAnswers[error.kind];
 	const outcome = getOutcomeOf(error);
-	const retryAfterMs = answer.isPassing ? Math.ceil(error.retryAfterMs ?? usualRetryAfterMs) : undefined;
+	const retryAfterMs = answer.isTemporary ? Math.ceil(error.retryAfterMs ?? usualRetryAfterMs) : undefined;
 	const body: RefusalBody = {
 		error: error.kind,
 		outcome,
--- a/src/entry/node/callHandler.ts
+++ b/src/entry/node/callHandler.ts
@@ -8,7 +8,7 @@
 import { err, ok } from 'neverthrow';
 import type { IRandom } from '../../base/common/random';
 import type { ITimerService } from '../../base/common/timerService';
-import type { NamedEntry, RequestError } from '../../core/errors/common/errorKinds';
+import type { AdvertisedEntry, RequestError } from '../../core/errors/common/errorKinds';
 import { createRequestError, ErrorKind } from '../../core/errors/common/errorKinds';
 import type {
 	BootId,
@@ -232,7 +232,7 @@
 		return { ...error, entries: this.listEntriesOf({ region: home, isBound: true }) };
 	}
 
-	private listEntriesOf(wish: EntryWish): readonly NamedEntry[] {
+	private listEntriesOf(wish: EntryWish): readonly AdvertisedEntry[] {
 		const { region, isBound, previous, service } = wish;
 		const zone = region === this.own.region ? this.own.zone : undefined;
 		const candidates = [
@@ -248,7 +248,7 @@
 	}
 }
 
-function createName({ instance, region, zone, callerUrl }: LookupCandidate): NamedEntry {
+function createName({ instance, region, zone, callerUrl }: LookupCandidate): AdvertisedEntry {
 	return { instance, region, zone, url: callerUrl };
 }
 
