--- a/src/bin/entry.ts
+++ b/src/bin/entry.ts
@@ -10,7 +10,7 @@
 import type { EntrySettings } from '../core/settings/common/entrySettings';
 import { entrySettingsSchema, isStoreEntry } from '../core/settings/common/entrySettings';
 import { loadSettingsOrExit } from '../core/settings/node/loadSettings';
-import { watchSettings } from '../core/settings/node/settingsReload';
+import { watchReloadSignal } from '../core/settings/node/settingsReload';
 import { createLogger } from '../core/telemetry/node/logger';
 import { version } from '../../package.json';
 import { parseSettingsOption } from './commandLine';
@@ -26,7 +26,7 @@
 	const settings = loadSettingsOrExit(entrySettingsSchema, file);
 	const logger = createLogger(`anvilroad-entry ${settings.instance.id}`, settings.log.level);
 	const entry = new Entry(settings, createEnvironment(settings), logger, version);
-	watchSettings(file, entrySettingsSchema, settings, logger);
+	watchReloadSignal(file, entrySettingsSchema, settings, logger);
 	const leave = (signal: NodeJS.Signals): void => {
 		// Connections to peers and callers that are gone without a word would keep the process for minutes.
 		void entry.stop(signal).then(() => process.exit(0));
--- a/src/core/explain/common/loggedJournal.ts
+++ b/src/core/explain/common/loggedJournal.ts
@@ -1,12 +1,11 @@
 /**
- * A journal that also writes each decision on a request to the log, so that a person who has only the logs
- * can follow a request from its id to its cause.
+ * A request journal that also logs each decision on a request, so that the cause of a failure can be found from the
+ * request id with the logs alone.
  *
- * Load pattern: an entry at several times its usual load, with every request retried or refused. A line for
- * each step would then cost most when there is least to spare, and a reader of standard output that falls
- * behind would lose the lines that matter among those that do not. So lines are written at a bounded rate,
- * and what tells of a failure has a bound of its own, which the calm steps of others cannot use up. What was
- * left out is counted and told once a second.
+ * Logging is rate-limited. At several times the usual load, when every request is retried or refused, a line for each
+ * step would cost most when the least CPU time is available, and a slow reader of standard output would lose
+ * important lines among unimportant ones. Failures have a separate limit, which successful steps cannot exhaust. The
+ * number of omitted lines is logged at most once a second.
  */
 
 import type { RequestId } from '../../ids/common/ids';
@@ -17,32 +16,32 @@
 export interface DecisionLine {
 	readonly request: RequestId;
 	readonly step: JournalStep;
-	/** The inputs that decided it, and the outcome, in words. */
+	/** The inputs and the result of the decision, as text. */
 	readonly detail: string;
 	readonly sinceArrivalMs: number;
 	/** The version of the manifest that was in force. */
 	readonly manifest: number;
 }
 
-/** Where lines go. */
+/** The log that decisions are written to. */
 export interface IDecisionLog {
 	writeDecision(line: DecisionLine): void;
-	/** Lines that were left out since the last time. */
+	/** @param lines The number of lines omitted since the last call. */
 	writeOmitted(lines: number): void;
 }
 
-/** Bounds of the log, in lines. */
-export interface LogBounds {
+/** Rate limits of the log. */
+export interface LogLimits {
 	readonly linesPerSecond: number;
 	readonly failuresPerSecond: number;
 }
 
-/** Three lines a request at 130 requests a second, an entry at its peak; failures are rarer. */
-export const defaultLogBounds: LogBounds = { linesPerSecond: 400, failuresPerSecond: 200 };
+/** Sufficient for three lines per request at 130 requests a second, the peak load of an entry; failures are rarer. */
+export const defaultLogLimits: LogLimits = { linesPerSecond: 400, failuresPerSecond: 200 };
 
 const msPerSecond = 1_000;
 
-/** Steps that are decisions; the others tell where time went, and stand in the journal alone. */
+/** Steps that are decisions. All other steps only show how time was spent and are kept in the journal alone. */
 const loggedSteps: ReadonlySet<JournalStep> = new Set([
 	JournalStep.Refused,
 	JournalStep.SentAway,
@@ -52,33 +51,33 @@
 	JournalStep.Ended,
 ]);
 
-/** What an end or an attempt's end says when all went well. */
+/** Matches the detail of a successful `ended` or `attempt-ended` step. */
 const successPattern = /^answered|: answered;/;
 
-/** Writes to a journal and to the log. */
+/** Adds steps to a journal and writes decisions to the log. */
 export class LoggedJournal implements IRequestJournal {
-	private second = 0;
-	private lines = 0;
-	private failures = 0;
+	private currentSecond = 0;
+	private writtenLines = 0;
+	private writtenFailures = 0;
 	private omitted = 0;
 
 	constructor(
 		private readonly journal: IRequestJournal,
 		private readonly log: IDecisionLog,
 		private readonly getManifestVersion: () => number,
-		private readonly bounds: LogBounds = defaultLogBounds,
+		private readonly limits: LogLimits = defaultLogLimits,
 	) {}
 
 	open(
 		id: RequestId,
-		about: Pick<RequestRecord, 'service' | 'organisation' | 'requestClass'>,
+		request: Pick<RequestRecord, 'service' | 'organisation' | 'requestClass'>,
 		nowMs: number,
 	): void {
-		this.journal.open(id, about, nowMs);
+		this.journal.open(id, request, nowMs);
 	}
 
-	note(id: RequestId, step: JournalStep, detail: string, nowMs: number): void {
-		this.journal.note(id, step, detail, nowMs);
+	addStep(id: RequestId, step: JournalStep, detail: string, nowMs: number): void {
+		this.journal.addStep(id, step, detail, nowMs);
 		if (!loggedSteps.has(step) || !this.admitLine(step, detail, nowMs)) {
 			return;
 		}
@@ -103,28 +102,28 @@
 		this.beginSecond(nowMs);
 		const isFailure = isFailureStep(step, detail);
 		const isAdmitted = isFailure
-			? this.failures < this.bounds.failuresPerSecond
-			: this.lines < this.bounds.linesPerSecond;
+			? this.writtenFailures < this.limits.failuresPerSecond
+			: this.writtenLines < this.limits.linesPerSecond;
 		if (!isAdmitted) {
 			this.omitted++;
 			return false;
 		}
 		if (isFailure) {
-			this.failures++;
+			this.writtenFailures++;
 		} else {
-			this.lines++;
+			this.writtenLines++;
 		}
 		return true;
 	}
 
 	private beginSecond(nowMs: number): void {
 		const second = Math.floor(nowMs / msPerSecond);
-		if (second === this.second) {
+		if (second === this.currentSecond) {
 			return;
 		}
-		this.second = second;
-		this.lines = 0;
-		this.failures = 0;
+		this.currentSecond = second;
+		this.writtenLines = 0;
+		this.writtenFailures = 0;
 		if (this.omitted > 0) {
 			this.log.writeOmitted(this.omitted);
 			this.omitted = 0;
--- a/src/core/explain/common/requestJournal.ts
+++ b/src/core/explain/common/requestJournal.ts
@@ -1,11 +1,11 @@
 /**
- * The journal of requests: every decision taken on a request, kept for the newest requests in a bounded
- * ring, so that `anvilroadctl explain REQUEST_ID` can tell a person on call what happened and why.
+ * The request journal: every decision on the newest requests, kept in a ring buffer. `anvilroadctl explain REQUEST_ID`
+ * shows an operator what happened to a request and why.
  */
 
 import type { RequestId } from '../../ids/common/ids';
 
-/** The steps a request can take. */
+/** The steps of processing a request. */
 export enum JournalStep {
 	Received = 'received',
 	Refused = 'refused',
@@ -20,33 +20,33 @@
 }
 
 /** One step of one request. */
-export interface JournalEntry {
+export interface RecordedStep {
 	/** Milliseconds since the request arrived. */
 	readonly sinceArrivalMs: number;
 	readonly step: JournalStep;
-	/** Why, in words for a person. Holds no part of a body. */
+	/** The reason for the step, as text. Contains no part of a request or answer body. */
 	readonly detail: string;
 }
 
-/** All that is kept of one request. */
+/** The recorded steps of one request. */
 export interface RequestRecord {
 	readonly id: RequestId;
 	readonly at: Date;
 	readonly service: string;
 	readonly organisation: string;
 	readonly requestClass: string;
-	readonly entries: readonly JournalEntry[];
+	readonly entries: readonly RecordedStep[];
 }
 
-/** Writes and finds request records. */
+/** Creates, extends and finds request records. */
 export interface IRequestJournal {
 	open(
 		id: RequestId,
-		about: Pick<RequestRecord, 'service' | 'organisation' | 'requestClass'>,
+		request: Pick<RequestRecord, 'service' | 'organisation' | 'requestClass'>,
 		nowMs: number,
 	): void;
-	note(id: RequestId, step: JournalStep, detail: string, nowMs: number): void;
+	addStep(id: RequestId, step: JournalStep, detail: string, nowMs: number): void;
 	find(id: RequestId): RequestRecord | undefined;
-	/** When the request arrived, on the clock that `open` was given; undefined where it is no longer kept. */
+	/** The arrival time that was passed to `open` as `nowMs`; undefined if the record no longer exists. */
 	getArrivedMs(id: RequestId): number | undefined;
 }
--- a/src/core/explain/common/ringRequestJournal.ts
+++ b/src/core/explain/common/ringRequestJournal.ts
@@ -1,93 +1,93 @@
 /**
- * The journal of requests in memory. It is bounded three ways: by requests, by steps of one request and by
- * the length of a step's detail. Without the second and third, one request that is retried for minutes, or
- * a fault that quotes a long header, would take the room of all others.
+ * An in-memory request journal with three limits: the number of requests, the steps per request and the length of a
+ * step's detail. Without the last two, a request that is retried for minutes, or an error that quotes a long header,
+ * would use the memory of many other records.
  *
- * Measured on Node 20: a usual request (seven steps, details of 40 characters) holds 1.4 KB, one that uses
- * all its room 9.7 KB; opening a request and noting seven steps costs about 10 µs.
+ * On Node 20, a typical request (seven steps, details of 40 characters) takes 1.4 KB and a request at all limits
+ * 9.7 KB. Opening a record and adding seven steps takes about 10 µs.
  */
 
 import type { RequestId } from '../../ids/common/ids';
-import type { IRequestJournal, JournalEntry, JournalStep, RequestRecord } from './requestJournal';
+import type { IRequestJournal, RecordedStep, JournalStep, RequestRecord } from './requestJournal';
 
-/** Steps kept of one request; later ones replace the last, so that the beginning and the end are told. */
-export const mostSteps = 32;
+/** Steps kept per request. Further steps replace the last one, so that the beginning and the end are kept. */
+export const maxSteps = 32;
 
-/** Characters kept of one detail. */
-export const longestDetail = 200;
+/** Characters kept per detail. */
+export const maxDetailCharacters = 200;
 
-const cutMark = '...';
+const ellipsis = '...';
 
 interface OpenRecord extends RequestRecord {
 	readonly arrivedMs: number;
-	readonly entries: JournalEntry[];
+	readonly entries: RecordedStep[];
 }
 
 /**
- * Cuts a detail to its bound. A sliced string keeps the whole string that it was cut from alive, so a
- * journal of long quoted headers would hold all of them unseen; joining single characters makes a copy.
+ * Truncates a detail to the maximum length. A sliced string keeps a reference to the original string, so a journal
+ * with parts of long headers would keep all of them in memory. Joining single characters creates a copy.
  */
 function formatDetail(detail: string): string {
-	if (detail.length <= longestDetail) {
+	if (detail.length <= maxDetailCharacters) {
 		return detail;
 	}
-	const kept = detail.slice(0, longestDetail - cutMark.length);
-	return Array.from(kept).concat(cutMark).join('');
+	const kept = detail.slice(0, maxDetailCharacters - ellipsis.length);
+	return Array.from(kept).concat(ellipsis).join('');
 }
 
-/** Keeps the newest `capacity` requests; opening one and noting a step cost the same however many there are. */
+/** Keeps the newest `capacity` requests. The cost of an operation does not depend on the number of records. */
 export class RingRequestJournal implements IRequestJournal {
 	private readonly byId = new Map<RequestId, OpenRecord>();
-	/** Ids by arrival. A map's own first key is slow to find once many before it were deleted. */
+	/** Ids in order of arrival. Finding the first key of a Map is slow after many earlier keys were deleted. */
 	private readonly ring: RequestId[] = [];
 	private nextSlot = 0;
 
 	/**
-	 * @param capacity Requests kept; at least 1.
-	 * @param wallClock The time for people that records carry.
+	 * @param capacity The number of requests kept; at least 1.
+	 * @param wallClock Returns the time of day for records.
 	 */
 	constructor(
 		private readonly capacity: number,
 		private readonly wallClock: () => Date,
 	) {
 		if (!Number.isInteger(capacity) || capacity < 1) {
-			throw new RangeError(`the capacity of a journal is a whole number above 0, not ${capacity}`);
+			throw new RangeError(`the capacity of a request journal must be a positive integer, not ${capacity}`);
 		}
 	}
 
-	/** Starts a record; one that stands already is kept as it is. */
+	/** Creates a record, unless the request already has one. */
 	open(
 		id: RequestId,
-		about: Pick<RequestRecord, 'service' | 'organisation' | 'requestClass'>,
+		request: Pick<RequestRecord, 'service' | 'organisation' | 'requestClass'>,
 		nowMs: number,
 	): void {
 		if (this.byId.has(id)) {
 			return;
 		}
-		const replaced = this.ring[this.nextSlot];
-		if (replaced !== undefined) {
-			this.byId.delete(replaced);
+		const replacedId = this.ring[this.nextSlot];
+		if (replacedId !== undefined) {
+			this.byId.delete(replacedId);
 		}
 		this.ring[this.nextSlot] = id;
 		this.nextSlot = (this.nextSlot + 1) % this.capacity;
 		this.byId.set(id, {
 			id,
 			at: this.wallClock(),
-			service: formatDetail(about.service),
-			organisation: formatDetail(about.organisation),
-			requestClass: formatDetail(about.requestClass),
+			service: formatDetail(request.service),
+			organisation: formatDetail(request.organisation),
+			requestClass: formatDetail(request.requestClass),
 			arrivedMs: nowMs,
 			entries: [],
 		});
 	}
 
-	/** Adds a step; one of a request that is no longer kept is dropped. */
-	note(id: RequestId, step: JournalStep, detail: string, nowMs: number): void {
+	/** Adds a step, unless the record of the request no longer exists. */
+	addStep(id: RequestId, step: JournalStep, detail: string, nowMs: number): void {
 		const record = this.byId.get(id);
 		if (record === undefined) {
 			return;
 		}
-		if (record.entries.length === mostSteps) {
+		if (record.entries.length === maxSteps) {
 			record.entries.pop();
 		}
 		record.entries.push({
--- a/src/core/operators/common/operatorsAnswer.ts
+++ b/src/core/operators/common/operatorsAnswer.ts
@@ -1,11 +1,11 @@
 /**
- * One answer of an operators' port, and the answer to what cannot be answered otherwise.
+ * The answers of an operators' port, including error answers.
  */
 
-import { OperatorsFault } from '../../status/common/operatorsAnswers';
-import type { FaultAnswer } from '../../status/common/operatorsAnswers';
+import { OperatorsErrorCode } from '../../status/common/operatorsAnswers';
+import type { OperatorsErrorAnswer } from '../../status/common/operatorsAnswers';
 
-/** One answer; the body is whole. */
+/** An answer with its complete body. */
 export interface OperatorsAnswer {
 	readonly status: number;
 	readonly contentType: string;
@@ -14,21 +14,21 @@
 
 export const jsonType = 'application/json';
 
-const statusByFault: Readonly<Record<OperatorsFault, number>> = {
-	[OperatorsFault.UnknownRoute]: 404,
-	[OperatorsFault.MethodNotAllowed]: 405,
-	[OperatorsFault.MalformedQuery]: 400,
-	[OperatorsFault.RequestNotKept]: 404,
-	[OperatorsFault.NoManifest]: 404,
-	[OperatorsFault.Internal]: 500,
+const statusByErrorCode: Readonly<Record<OperatorsErrorCode, number>> = {
+	[OperatorsErrorCode.UnknownRoute]: 404,
+	[OperatorsErrorCode.MethodNotAllowed]: 405,
+	[OperatorsErrorCode.MalformedQuery]: 400,
+	[OperatorsErrorCode.RequestNotKept]: 404,
+	[OperatorsErrorCode.NoManifest]: 404,
+	[OperatorsErrorCode.Internal]: 500,
 };
 
 export function createJsonAnswer(status: number, value: unknown): OperatorsAnswer {
 	return { status, contentType: jsonType, body: `${JSON.stringify(value)}\n` };
 }
 
-/** The answer to what cannot be answered otherwise. */
-export function createFaultAnswer(error: OperatorsFault, message: string): OperatorsAnswer {
-	const fault: FaultAnswer = { error, message };
-	return createJsonAnswer(statusByFault[error], fault);
+/** Creates an error answer, with the HTTP status of its error code. */
+export function createErrorAnswer(error: OperatorsErrorCode, message: string): OperatorsAnswer {
+	const answer: OperatorsErrorAnswer = { error, message };
+	return createJsonAnswer(statusByErrorCode[error], answer);
 }
--- a/src/core/operators/common/operatorsRouter.ts
+++ b/src/core/operators/common/operatorsRouter.ts
@@ -1,27 +1,27 @@
 /**
- * The routes of the operators' port, from a method and a path to an answer, apart from the server.
+ * Routes requests on the operators' port to their answers, independently of the HTTP server.
  */
 
 import type { RequestId } from '../../ids/common/ids';
-import { createExplainAnswer, OperatorsFault } from '../../status/common/operatorsAnswers';
+import { createExplainAnswer, OperatorsErrorCode } from '../../status/common/operatorsAnswers';
 import type { OperatorsAnswer } from './operatorsAnswer';
-import { createFaultAnswer, createJsonAnswer, jsonType } from './operatorsAnswer';
+import { createErrorAnswer, createJsonAnswer, jsonType } from './operatorsAnswer';
 import type { IMetricsPage, IOperatorsSource } from './operatorsSource';
 import { answerTrail } from './trailAnswer';
 
 const textType = 'text/plain; charset=utf-8';
 
-/** Answers the reads of operators and their tools. */
+/** Answers the requests of operators and their tools, all of which are read-only. */
 export class OperatorsRouter {
 	constructor(
 		private readonly source: IOperatorsSource,
 		private readonly metrics: IMetricsPage,
 	) {}
 
-	/** @param target Path and query, as in the request line. */
+	/** @param target The path and query, as in the request line. */
 	async answer(method: string, target: string): Promise<OperatorsAnswer> {
 		if (method !== 'GET' && method !== 'HEAD') {
-			return createFaultAnswer(OperatorsFault.MethodNotAllowed, 'This port is only read: GET and HEAD.');
+			return createErrorAnswer(OperatorsErrorCode.MethodNotAllowed, 'This port is read-only: GET and HEAD.');
 		}
 		const [path = '', query = ''] = target.split('?', 2);
 		if (path === '/metrics') {
@@ -47,8 +47,8 @@
 			case '/v1/manifest':
 				return this.answerManifest();
 			default:
-				return createFaultAnswer(
-					OperatorsFault.UnknownRoute,
+				return createErrorAnswer(
+					OperatorsErrorCode.UnknownRoute,
 					'Known: /metrics /healthz /readyz /v1/status /v1/explain/{id} /v1/trail /v1/manifest.',
 				);
 		}
@@ -63,9 +63,9 @@
 	private answerExplain(id: string): OperatorsAnswer {
 		const record = this.source.findRecord(id as RequestId);
 		if (record === undefined) {
-			return createFaultAnswer(
-				OperatorsFault.RequestNotKept,
-				'This entry keeps nothing of that request: it was never here, or newer ones took its place.',
+			return createErrorAnswer(
+				OperatorsErrorCode.RequestNotKept,
+				'This entry has no record of that request: it was never received here, or newer records replaced it.',
 			);
 		}
 		return createJsonAnswer(200, createExplainAnswer(this.source.getStatus().instance, record));
@@ -73,14 +73,14 @@
 
 	private answerTrail(query: URLSearchParams): OperatorsAnswer {
 		const { instance, boot } = this.source.getStatus();
-		return answerTrail(query, { instance, boot, listTrail: most => this.source.listTrail(most) });
+		return answerTrail(query, { instance, boot, listTrail: maxRecords => this.source.listTrail(maxRecords) });
 	}
 
-	/** The document is put in as the text that was accepted, so that what is shown is what is in force. */
+	/** The document is inserted as the original text, so that the answer shows exactly the manifest in force. */
 	private answerManifest(): OperatorsAnswer {
 		const manifest = this.source.getManifest();
 		if (manifest === undefined) {
-			return createFaultAnswer(OperatorsFault.NoManifest, 'This entry has no manifest yet.');
+			return createErrorAnswer(OperatorsErrorCode.NoManifest, 'This entry has no manifest yet.');
 		}
 		const { version, digest, text } = manifest;
 		const body = `{"version":${version},"digest":${JSON.stringify(digest)},"document":${text}}\n`;
--- a/src/core/operators/common/operatorsSource.ts
+++ b/src/core/operators/common/operatorsSource.ts
@@ -1,5 +1,5 @@
 /**
- * What the operators' port needs to know of the process that it speaks for.
+ * The data that the operators' port reads from the process.
  */
 
 import type { AuditRecord } from '../../audit/common/auditTrail';
@@ -11,23 +11,23 @@
 export interface ManifestInForce {
 	readonly version: ManifestVersion;
 	readonly digest: string;
-	/** The JSON text that was checked and accepted. */
+	/** The JSON text that was validated and accepted. */
 	readonly text: string;
 }
 
-/** Answers from what the process holds; none of these waits for anything. */
+/** Returns data from the memory of the process, without waiting for other systems. */
 export interface IOperatorsSource {
 	getReadiness(): Readiness;
 	getStatus(): EntryStatus;
-	/** What is kept of a request, or undefined where it was never here or its place was needed. */
+	/** The record of a request, or undefined if the request was never received or its record was replaced. */
 	findRecord(id: RequestId): RequestRecord | undefined;
 	/** The newest records, oldest first. */
-	listTrail(most: number): readonly AuditRecord[];
-	/** The manifest in force, or undefined before the first. */
+	listTrail(maxRecords: number): readonly AuditRecord[];
+	/** The manifest in force, or undefined if none has been accepted yet. */
 	getManifest(): ManifestInForce | undefined;
 }
 
-/** The page of metrics. */
+/** The page with the metrics of the process. */
 export interface IMetricsPage {
 	readonly contentType: string;
 	render(): Promise<string>;
--- a/src/core/operators/common/trailAnswer.ts
+++ b/src/core/operators/common/trailAnswer.ts
@@ -1,47 +1,47 @@
 /**
- * The answer to `/v1/trail`, the same at every program's operators' port, so that one command reads them all.
+ * Answers `/v1/trail`. The format is the same for all programs, so that one command can read every audit trail.
  */
 
 import type { AuditRecord } from '../../audit/common/auditTrail';
-import { createTrailRecord, OperatorsFault } from '../../status/common/operatorsAnswers';
+import { createTrailRecord, OperatorsErrorCode } from '../../status/common/operatorsAnswers';
 import type { TrailAnswer } from '../../status/common/operatorsAnswers';
 import type { OperatorsAnswer } from './operatorsAnswer';
-import { createFaultAnswer, createJsonAnswer } from './operatorsAnswer';
+import { createErrorAnswer, createJsonAnswer } from './operatorsAnswer';
 
-/** Whose trail it is, and the trail. */
+/** An audit trail and the process that it belongs to. */
 export interface TrailSource {
 	readonly instance: string;
 	readonly boot: string;
 	/** The newest records, oldest first. */
-	readonly listTrail: (most: number) => readonly AuditRecord[];
+	readonly listTrail: (maxRecords: number) => readonly AuditRecord[];
 }
 
 const defaultTrailRecords = 100;
-const mostTrailRecords = 10_000;
+const maxTrailRecords = 10_000;
 
-/** @param query `most` bounds the records, and `after` leaves out those up to a sequence. */
+/** @param query `most` limits the number of records; `after` skips records up to a sequence number. */
 export function answerTrail(query: URLSearchParams, source: TrailSource): OperatorsAnswer {
-	const most = parseCount(query.get('most'), defaultTrailRecords, mostTrailRecords);
+	const maxRecords = parseCount(query.get('most'), defaultTrailRecords, maxTrailRecords);
 	const after = parseCount(query.get('after'), 0, Number.MAX_SAFE_INTEGER);
-	if (most === undefined || after === undefined) {
-		return createFaultAnswer(
-			OperatorsFault.MalformedQuery,
-			`most is a whole number up to ${mostTrailRecords}; after is a record's sequence.`,
+	if (maxRecords === undefined || after === undefined) {
+		return createErrorAnswer(
+			OperatorsErrorCode.MalformedQuery,
+			`most is a whole number up to ${maxTrailRecords}; after is a record's sequence.`,
 		);
 	}
 	const records = source
-		.listTrail(most)
+		.listTrail(maxRecords)
 		.filter(record => record.sequence > after)
 		.map(createTrailRecord);
 	const answer: TrailAnswer = { instance: source.instance, boot: source.boot, records };
 	return createJsonAnswer(200, answer);
 }
 
-/** A whole number of a query, or undefined where it is not one in the range. */
-function parseCount(text: string | null, fallback: number, most: number): number | undefined {
+/** Parses an integer of a query; undefined if the text is not an integer from 0 to `max`. */
+function parseCount(text: string | null, fallback: number, max: number): number | undefined {
 	if (text === null) {
 		return fallback;
 	}
 	const count = Number(text);
-	return /^\d+$/.test(text) && count <= most ? count : undefined;
+	return /^\d+$/.test(text) && count <= max ? count : undefined;
 }
--- a/src/core/operators/node/operatorsServer.ts
+++ b/src/core/operators/node/operatorsServer.ts
@@ -1,6 +1,7 @@
 /**
- * The operators' port: metrics, health, readiness and what `anvilroadctl` reads. It is only read, and it
- * answers from what the process holds, so it works while the platform and the peers are away.
+ * The server of the operators' port: metrics, health, readiness and the data that `anvilroadctl` reads. All routes
+ * are read-only and answered from the memory of the process, so they work while the platform and the peers are
+ * unavailable.
  */
 
 import { createServer } from 'node:http';
@@ -11,33 +12,33 @@
 import { listenOn } from '../../../base/node/listenOn';
 import type { ListenAddress } from '../../settings/common/settingsTypes';
 import type { CertificateStore } from '../../tls/node/certificateStore';
-import { createServerOptions, followCertificates } from '../../tls/node/secureOptions';
-import { OperatorsFault } from '../../status/common/operatorsAnswers';
+import { createServerOptions, subscribeToRenewals } from '../../tls/node/secureOptions';
+import { OperatorsErrorCode } from '../../status/common/operatorsAnswers';
 import type { OperatorsAnswer } from '../common/operatorsAnswer';
-import { createFaultAnswer } from '../common/operatorsAnswer';
+import { createErrorAnswer } from '../common/operatorsAnswer';
 import { OperatorsRouter } from '../common/operatorsRouter';
 import type { IMetricsPage, IOperatorsSource } from '../common/operatorsSource';
 
 /**
- * Connections at a time. A scraper that opens one for each read and never closes it would otherwise take
- * the descriptors that callers need; beyond the bound the newest is closed at once.
+ * Concurrent connections. A scraper that opens a connection for each read and never closes it would otherwise use
+ * up the file descriptors that callers need. New connections beyond the limit are closed at once.
  */
-const mostConnections = 64;
+const maxConnections = 64;
 
-/** Milliseconds in which a request must have arrived whole, and in which a TLS handshake must end. */
+/** Milliseconds within which a request must be received completely and a TLS handshake must finish. */
 const requestTimeoutMs = 5_000;
 
-/** Serves operators until disposed of. */
+/** Serves the operators' port until disposed. */
 export class OperatorsServer extends Disposable {
 	private readonly router: OperatorsRouter;
 	private readonly server: Server | SecureServer;
 
-	/** @param certificates Shown by the port; without them it is plain. */
+	/** @param certificates The certificates of the port; if undefined, the port does not use TLS. */
 	constructor(source: IOperatorsSource, metrics: IMetricsPage, certificates?: CertificateStore) {
 		super();
 		this.router = new OperatorsRouter(source, metrics);
 		this.server = this.createServer(certificates);
-		this.server.maxConnections = mostConnections;
+		this.server.maxConnections = maxConnections;
 		this.register(
 			toDisposable(() => {
 				this.server.close();
@@ -46,7 +47,7 @@
 		);
 	}
 
-	/** Opens the port and gives the address in use; rejects where the port cannot be had. */
+	/** Opens the port and returns the address in use; rejects if the port cannot be opened. */
 	async start(listen: ListenAddress): Promise<ListenAddress> {
 		const { address, port } = await listenOn(this.server, listen);
 		return { host: address, port };
@@ -65,7 +66,7 @@
 			handshakeTimeout: requestTimeoutMs,
 		};
 		const server = createSecureServer(options, answer);
-		this.register(followCertificates(server, certificates));
+		this.register(subscribeToRenewals(server, certificates));
 		return server;
 	}
 
@@ -81,13 +82,13 @@
 		response.end(request.method === 'HEAD' ? undefined : body);
 	}
 
-	/** A fault in a status page must not end the process that serves callers. */
+	/** Converts exceptions to error answers: a bug in a status page must not end the process that serves callers. */
 	private async answerSafely(request: IncomingMessage): Promise<OperatorsAnswer> {
 		try {
 			return await this.router.answer(request.method ?? 'GET', request.url ?? '/');
 		} catch (error) {
 			const message = error instanceof Error ? error.message : String(error);
-			return createFaultAnswer(OperatorsFault.Internal, message);
+			return createErrorAnswer(OperatorsErrorCode.Internal, message);
 		}
 	}
 }
--- a/src/core/operators/test/operatorsFixtures.ts
+++ b/src/core/operators/test/operatorsFixtures.ts
@@ -1,5 +1,5 @@
 /**
- * Makes the parts that tests of the operators' port need.
+ * Creates test data and fakes for tests of the operators' port.
  */
 
 import type { AuditRecord } from '../../audit/common/auditTrail';
@@ -10,7 +10,7 @@
 import type { EntryStatus } from '../../status/common/entryStatus';
 import type { IMetricsPage, IOperatorsSource } from '../common/operatorsSource';
 
-export function createStatus(more: Partial<EntryStatus> = {}): EntryStatus {
+export function createStatus(overrides: Partial<EntryStatus> = {}): EntryStatus {
 	return {
 		instance: 'entry-kingston-1',
 		boot: 'b7c1',
@@ -28,7 +28,7 @@
 		ticketsOutstanding: 4,
 		heldBytes: 0,
 		mostHeldBytes: 268_435_456,
-		...more,
+		...overrides,
 	};
 }
 
@@ -56,14 +56,14 @@
 	};
 }
 
-export function createSource(more: Partial<IOperatorsSource> = {}): IOperatorsSource {
+export function createSource(overrides: Partial<IOperatorsSource> = {}): IOperatorsSource {
 	return {
 		getReadiness: () => ({ isReady: true, reasons: [] }),
 		getStatus: () => createStatus(),
 		findRecord: id => (id === 'known' ? createRequestRecord(id) : undefined),
-		listTrail: most => [1, 2, 3].slice(-most).map(createRecord),
+		listTrail: maxRecords => [1, 2, 3].slice(-maxRecords).map(createRecord),
 		getManifest: () => ({ version: 12 as ManifestVersion, digest: 'ab12', text: '{"regions": []}' }),
-		...more,
+		...overrides,
 	};
 }
 
--- a/src/core/operators/test/operatorsServer.test.ts
+++ b/src/core/operators/test/operatorsServer.test.ts
@@ -6,7 +6,7 @@
 import { OperatorsServer } from '../node/operatorsServer';
 import { createMetricsPage, createSource } from './operatorsFixtures';
 
-interface SeenAnswer {
+interface ReceivedAnswer {
 	readonly status: number;
 	readonly type: unknown;
 	readonly body: string;
@@ -20,7 +20,7 @@
 	return `http://${host}:${port}`;
 }
 
-async function fetchAnswer(url: string, method: Dispatcher.HttpMethod = 'GET'): Promise<SeenAnswer> {
+async function fetchAnswer(url: string, method: Dispatcher.HttpMethod = 'GET'): Promise<ReceivedAnswer> {
 	const { statusCode, headers, body } = await request(url, { method, reset: true });
 	return { status: statusCode, type: headers['content-type'], body: await body.text() };
 }
@@ -41,9 +41,9 @@
 		expect(await fetchAnswer(`${url}/readyz`)).toMatchObject({ status: 200, body: 'ready\n' });
 	});
 
-	// An entry starts while the platform and all peers are away. Whoever directs callers to it must see
-	// that it is not ready and why, while the process itself is healthy and must not be restarted.
-	it('is healthy but not ready, with each reason on a line, before there is a manifest', async () => {
+	// An entry can start while the platform and all peers are unavailable. A load balancer must see that the entry is not
+	// ready and why, but the process is healthy and must not be restarted.
+	it('is healthy but not ready, with each reason on a line, before the first manifest', async () => {
 		const reasons = ['no manifest yet', 'the platform has not answered'];
 		const url = await startServer({
 			getReadiness: () => ({ isReady: false, reasons }),
@@ -57,7 +57,7 @@
 		expect((await fetchAnswer(`${url}/v1/manifest`)).body).toContain('no-manifest');
 	});
 
-	it('gives status, a record, the trail after a sequence and the manifest as they were accepted', async () => {
+	it('returns the status, a request record, the trail after a sequence number and the accepted manifest', async () => {
 		const url = await startServer();
 		const status: unknown = JSON.parse((await fetchAnswer(`${url}/v1/status`)).body);
 		expect(entryStatusSchema.parse(status)).toEqual(status);
@@ -70,7 +70,7 @@
 		);
 	});
 
-	it('says what is wrong with a question that it cannot answer', async () => {
+	it('answers invalid requests with an error status', async () => {
 		const url = await startServer();
 		expect(await fetchAnswer(`${url}/v1/explain/gone`)).toMatchObject({ status: 404 });
 		expect(await fetchAnswer(`${url}/v1/trail?most=all`)).toMatchObject({ status: 400 });
@@ -78,9 +78,9 @@
 		expect(await fetchAnswer(`${url}/v1/status`, 'POST')).toMatchObject({ status: 405 });
 	});
 
-	// A fault in the code that gathers the status throws. Unhandled, it would end the process and with it
-	// every request of callers; the operator should see the fault instead.
-	it('answers 500 where the source throws, and goes on serving', async () => {
+	// An unhandled exception in the code that collects the status would end the process and every running request.
+	// Instead, the operator must see the error.
+	it('answers 500 when the source throws, and keeps serving', async () => {
 		const url = await startServer({
 			getStatus: () => {
 				throw new Error('no such peer');
--- a/src/core/settings/common/entrySettings.ts
+++ b/src/core/settings/common/entrySettings.ts
@@ -1,29 +1,29 @@
 /**
- * The settings of `anvilroad-entry`. docs/SETTINGS.md tells every key to operators.
+ * The settings schema of `anvilroad-entry`. docs/SETTINGS.md documents every key.
  */
 
 import { z } from 'zod';
 import type { InstanceId, RegionName, ZoneName } from '../../ids/common/ids';
 import {
-	createName,
-	createNumber,
-	createSeconds,
-	createShare,
-	createWholeNumber,
-	listenAddress,
-	originUrl,
-	yesOrNo,
+	createNameSchema,
+	createNumberSchema,
+	createSecondsSchema,
+	createShareSchema,
+	createIntegerSchema,
+	listenAddressSchema,
+	originUrlSchema,
+	yesOrNoSchema,
 } from './settingsTypes';
 import { tlsSettingsSchema } from './tlsSettings';
-import { checkTransport } from './transportRules';
+import { checkTransportSecurity } from './transportSecurity';
 
-const mebibyte = 1_048_576;
-const smallestTicketKey = 16;
+const bytesPerMebibyte = 1_048_576;
+const minTicketKeyCharacters = 16;
 
-const urlList = z
+const urlListSchema = z
 	.string()
 	.transform(text => text.split(',').map(part => part.trim()))
-	.pipe(z.array(originUrl));
+	.pipe(z.array(originUrlSchema));
 
 export const platformProtocols = ['native', 'store'] as const;
 
@@ -31,111 +31,118 @@
 
 const sectionsSchema = z.strictObject({
 	instance: z.strictObject({
-		id: createName<InstanceId>(),
-		region: createName<RegionName>(),
-		zone: createName<ZoneName>(),
+		id: createNameSchema<InstanceId>(),
+		region: createNameSchema<RegionName>(),
+		zone: createNameSchema<ZoneName>(),
 	}),
-	/** Where callers reach this entry. */
+	/** The port for callers. */
 	callers: z.strictObject({
-		listen: listenAddress,
-		/** As callers write it; what lookups name. */
-		url: originUrl,
+		listen: listenAddressSchema,
+		/** The base URL that callers use, returned by lookups. */
+		url: originUrlSchema,
 	}),
-	/** Where other entries reach this one. */
+	/** The port for other entries (peers). */
 	peers: z.strictObject({
-		listen: listenAddress,
-		url: originUrl,
-		/** Peers to ask before the instance list is known; it may be away when this entry starts. */
-		seeds: urlList.default([]),
-		/** Without certificates; must be said where there is no section `[tls]`. */
-		plain: yesOrNo.optional(),
+		listen: listenAddressSchema,
+		url: originUrlSchema,
+		/** Peers to contact before the instance list has been read; it may be unavailable at startup. */
+		seeds: urlListSchema.default([]),
+		/** Serves without TLS; must be set explicitly when there is no section `[tls]`. */
+		plain: yesOrNoSchema.optional(),
 	}),
-	/** Peers whose advertised URL is reached by another one, as through an address translation. */
-	peer_routes: z.record(originUrl, originUrl).default({}),
-	operators: z.strictObject({ listen: listenAddress, plain: yesOrNo.optional() }),
-	/** Certificates for peers and operators. */
+	/** Maps a peer's advertised URL to the URL to connect to, for example behind network address translation. */
+	peer_routes: z.record(originUrlSchema, originUrlSchema).default({}),
+	operators: z.strictObject({ listen: listenAddressSchema, plain: yesOrNoSchema.optional() }),
+	/** Certificates for the ports of peers and operators. */
 	tls: tlsSettingsSchema.optional(),
 	platform: z.strictObject({
-		url: originUrl,
-		/** What the platform speaks: the product's own interface, or a key-value store. */
+		url: originUrlSchema,
+		/** `native` for this project's own platform interface, `store` for a key-value store. */
 		protocol: z.enum(platformProtocols, platformProtocols.join(', ')).default('native'),
-		/** By how much what the platform publishes may be late once it answers. */
-		news_within_ms: createNumber(200, 600_000).optional(),
+		/** The maximum delay, in milliseconds, with which published changes arrive while the platform answers. */
+		news_within_ms: createNumberSchema(200, 600_000).optional(),
 	}),
-	/** Where callers ask which entries to use, on a platform with a store. */
-	directory: z.strictObject({ listen: listenAddress }).optional(),
-	/** Where the platform asks whether this entry takes requests. */
-	readiness: z.strictObject({ listen: listenAddress }).optional(),
+	/** The port where callers look up which entries to use, with the `store` protocol. */
+	directory: z.strictObject({ listen: listenAddressSchema }).optional(),
+	/** The port of the platform's readiness probe. */
+	readiness: z.strictObject({ listen: listenAddressSchema }).optional(),
 	/** The region of each availability zone. */
-	zones: z.record(z.string(), createName<RegionName>()).optional(),
+	zones: z.record(z.string(), createNameSchema<RegionName>()).optional(),
 	leaving: z
 		.strictObject({
-			/** How long after SIGTERM the platform ends the process by force; never where left out. */
-			killed_after_s: createSeconds(1, 600).optional(),
+			/** Seconds from SIGTERM until the platform kills the process; unset if it never does. */
+			killed_after_s: createSecondsSchema(1, 600).optional(),
 		})
 		.prefault({}),
-	/** Sends beyond the first of each request that all entries together may make to a service. */
+	/** The retry budget of a service, shared by all entries. The first send of a request is not a retry. */
 	retries: z
 		.strictObject({
-			/** As a share of the requests of a window. */
-			ratio: createShare(0, 1).default(0.2),
-			/** Beyond that share; a deployment that is scaled down has a fraction. */
-			slack: createNumber(0, 100_000).default(50),
-			window_s: createSeconds(1, 600).default(10),
+			/** Retries allowed, as a share of the requests in a window. */
+			ratio: createShareSchema(0, 1).default(0.2),
+			/** Retries allowed on top of that share. Can be a fraction, since it scales with the deployment. */
+			slack: createNumberSchema(0, 100_000).default(50),
+			window_s: createSecondsSchema(1, 600).default(10),
 		})
 		.prefault({}),
 	limits: z
 		.strictObject({
-			max_head_bytes: createWholeNumber(1_024, mebibyte).default(16_384),
-			max_body_bytes: createWholeNumber(1, 256 * mebibyte).default(8 * mebibyte),
-			/** Bytes of all request bodies that wait or run at this entry. */
-			max_held_bytes: createWholeNumber(mebibyte, 4_096 * mebibyte).default(256 * mebibyte),
+			max_head_bytes: createIntegerSchema(1_024, bytesPerMebibyte).default(16_384),
+			max_body_bytes: createIntegerSchema(1, 256 * bytesPerMebibyte).default(8 * bytesPerMebibyte),
+			/** Total bytes of the bodies of queued and running requests at this entry. */
+			max_held_bytes: createIntegerSchema(bytesPerMebibyte, 4_096 * bytesPerMebibyte).default(
+				256 * bytesPerMebibyte,
+			),
 		})
 		.prefault({}),
 	tickets: z
 		.strictObject({
-			/** Shared by all entries; signs tickets. */
-			key: z.string().min(smallestTicketKey, `at least ${smallestTicketKey} characters`).optional(),
-			/** The key before the last rotation: still accepted, no longer used to sign. */
-			previous_key: z.string().min(smallestTicketKey, `at least ${smallestTicketKey} characters`).optional(),
-			lifetime_ms: createWholeNumber(1_000, 3_600_000).default(120_000),
+			/** Signs tickets; shared by all entries. */
+			key: z.string().min(minTicketKeyCharacters, `at least ${minTicketKeyCharacters} characters`).optional(),
+			/** The key before the last rotation: verifies tickets, but no longer signs them. */
+			previous_key: z
+				.string()
+				.min(minTicketKeyCharacters, `at least ${minTicketKeyCharacters} characters`)
+				.optional(),
+			lifetime_ms: createIntegerSchema(1_000, 3_600_000).default(120_000),
 		})
 		.prefault({}),
 	log: z.strictObject({ level: z.enum(logLevels, logLevels.join(', ')).default('info') }).prefault({}),
 });
 
-/** The settings of an entry, contradictions included. */
-export const entrySettingsSchema = sectionsSchema.superRefine(checkTransport).superRefine(checkProtocol);
+/** The settings of an entry, including the rules that span several sections. */
+export const entrySettingsSchema = sectionsSchema
+	.superRefine(checkTransportSecurity)
+	.superRefine(checkProtocol);
 
 export type EntrySettings = z.output<typeof entrySettingsSchema>;
 
 type Sections = z.output<typeof sectionsSchema>;
 
-/** The settings of an entry on a platform with a store, where some sections must stand. */
+/** The settings of an entry that uses the `store` protocol, with the sections that it requires. */
 export type StoreEntrySettings = EntrySettings & {
 	readonly [TSection in (typeof storeSections)[number]]: NonNullable<EntrySettings[TSection]>;
 };
 
-/** Sections that only a platform with a store needs. */
+/** Sections that are required with the `store` protocol. */
 const storeSections = ['directory', 'readiness', 'zones'] as const;
 
-/** Whether the settings are of an entry on a platform with a store. */
+/** Whether the entry uses the `store` protocol. */
 export function isStoreEntry(settings: EntrySettings): settings is StoreEntrySettings {
 	return settings.platform.protocol === 'store';
 }
 
-/** Each protocol needs some settings that the other does without. */
+/** Reports missing settings that only the selected platform protocol requires. */
 function checkProtocol(settings: Sections, context: z.RefinementCtx): void {
 	if (settings.platform.protocol === 'native') {
 		if (settings.tickets.key === undefined) {
-			const message = 'a key that all entries share, of a platform that speaks the native protocol';
+			const message = 'a key shared by all entries, required with the native protocol';
 			context.addIssue({ code: 'custom', path: ['tickets', 'key'], message });
 		}
 		return;
 	}
 	for (const section of storeSections) {
 		if (settings[section] === undefined) {
-			context.addIssue({ code: 'custom', path: [section], message: 'needed on a platform with a store' });
+			context.addIssue({ code: 'custom', path: [section], message: 'required with the store protocol' });
 		}
 	}
 }
--- a/src/core/settings/common/settings.ts
+++ b/src/core/settings/common/settings.ts
@@ -1,7 +1,7 @@
 /**
- * Settings: an INI text, checked whole against a schema. Every fault is named with its section, key, value
- * and what is allowed; a key that the schema does not know is a fault too, since a misspelt limit that is
- * silently ignored is found only when the limit is needed.
+ * Parses INI settings and validates them against a schema. Every error is reported with its section, key, value
+ * and the allowed values. Unknown keys are errors as well: a misspelt limit that was silently ignored would only
+ * be noticed when the limit is needed.
  */
 
 import { parse } from 'ini';
@@ -9,79 +9,79 @@
 import { err, ok } from 'neverthrow';
 import { z } from 'zod';
 
-/** One fault of a settings file. */
-export interface SettingsFault {
-	/** As it stands in brackets; empty for a key above the first section. */
+/** One error in a settings file. */
+export interface SettingsError {
+	/** The section name without brackets; empty for a key before the first section. */
 	readonly section: string;
-	/** Empty for a fault of the whole section. */
+	/** Empty for an error that concerns the whole section. */
 	readonly key: string;
-	/** The value as it stands in the file; of a secret only its length. Undefined for a section, or a missing key. */
+	/** The value in the file, or only the length of a secret. Undefined for a section or a missing key. */
 	readonly value: string | undefined;
 	readonly isMissing: boolean;
-	/** What is allowed. */
+	/** Describes the allowed values. */
 	readonly allowed: string;
 }
 
 /**
- * Keys whose values are secrets. Faults go to logs and to the output of build pipelines, which many people
- * read; a ticket key found there lets its reader sign tickets.
+ * Keys whose values are secrets. Errors appear in logs and in the output of build pipelines, and anyone with a
+ * ticket key can sign tickets.
  */
 const secretKeys: ReadonlySet<string> = new Set(['key', 'previous_key']);
 
-/** Sections where a misspelt key is taken for a secret; a ticket key whose heading was left out is in none. */
+/** Sections where every value is a secret: the key may be misspelt (`tickets`) or its section header missing. */
 const secretSections: ReadonlySet<string> = new Set(['tickets', '']);
 
-/** Reads and checks the text of a settings file. */
+/** Parses and validates the text of a settings file. */
 export function parseSettings<TSchema extends z.ZodType>(
 	schema: TSchema,
 	text: string,
-): Result<z.output<TSchema>, readonly SettingsFault[]> {
+): Result<z.output<TSchema>, readonly SettingsError[]> {
 	const document: unknown = parse(text);
 	const parsed = schema.safeParse(document);
 	if (parsed.success) {
 		return ok(parsed.data);
 	}
-	return err(parsed.error.issues.flatMap(issue => createFaults(issue, document)));
+	return err(parsed.error.issues.flatMap(issue => createErrors(issue, document)));
 }
 
-/** One line a fault, for a person. */
-export function formatSettingsFault(fault: SettingsFault): string {
-	const section = fault.section === '' ? '' : `[${fault.section}]`;
-	const place = [section, fault.key].filter(part => part !== '').join(' ');
-	if (fault.isMissing) {
-		return `${place} is missing: ${fault.allowed}`;
+/** Formats an error as one line. */
+export function formatSettingsError(error: SettingsError): string {
+	const section = error.section === '' ? '' : `[${error.section}]`;
+	const location = [section, error.key].filter(part => part !== '').join(' ');
+	if (error.isMissing) {
+		return `${location} is missing: ${error.allowed}`;
 	}
-	return fault.value === undefined
-		? `${place}: ${fault.allowed}`
-		: `${place} = ${fault.value}: ${fault.allowed}`;
+	return error.value === undefined
+		? `${location}: ${error.allowed}`
+		: `${location} = ${error.value}: ${error.allowed}`;
 }
 
-function createFaults(issue: z.core.$ZodIssue, document: unknown): SettingsFault[] {
+function createErrors(issue: z.core.$ZodIssue, document: unknown): SettingsError[] {
 	if (issue.code !== 'unrecognized_keys') {
-		return [createFault(findPlace(document, issue.path), issue.message)];
+		return [createError(findLocation(document, issue.path), issue.message)];
 	}
 	return issue.keys.map(unknownKey => {
-		const place = findPlace(document, [...issue.path, unknownKey]);
-		return createFault(place, place.key === '' ? 'no such section' : 'no such key in this section');
+		const location = findLocation(document, [...issue.path, unknownKey]);
+		return createError(location, location.key === '' ? 'no such section' : 'no such key in this section');
 	});
 }
 
-/** Where a path of the schema leads in the file. */
-interface SettingsPlace {
-	/** As it stands in brackets; empty for a key above the first section. */
+/** The location in the file that a schema path refers to. */
+interface SettingsLocation {
+	/** The section name without brackets; empty for a key before the first section. */
 	readonly section: string;
-	/** Empty where the place is a section. */
+	/** Empty if the location is a section. */
 	readonly key: string;
 	readonly value: string | undefined;
 	readonly isMissing: boolean;
 }
 
 /**
- * Follows a path through the document. A dotted section such as `[engine.k1]` is nested there, so how many
- * parts of the path name the section shows only in the document itself; and a path may lead on into a value
- * that the schema takes apart, such as a list.
+ * Resolves a schema path in the document. The INI library nests dotted sections such as `[engine.k1]`, so only the
+ * document shows how many path segments name the section. A path can also continue into a value that the schema
+ * splits, such as a list.
  */
-function findPlace(document: unknown, path: readonly PropertyKey[]): SettingsPlace {
+function findLocation(document: unknown, path: readonly PropertyKey[]): SettingsLocation {
 	let value = document;
 	for (const [depth, part] of path.entries()) {
 		value = (value as Record<PropertyKey, unknown>)[part];
@@ -91,17 +91,17 @@
 		const isMissing = value === undefined;
 		const isSection = isMissing && depth === 0;
 		const section = path.slice(0, isSection ? 1 : depth).join('.');
-		// The INI library reads the words true and false as booleans; the fault must show them all the same.
+		// The INI library parses true and false as booleans; show them as they are written.
 		const text = typeof value === 'string' || typeof value === 'boolean' ? String(value) : undefined;
 		return { section, key: isSection ? '' : String(part), value: text, isMissing };
 	}
 	return { section: path.join('.'), key: '', value: undefined, isMissing: false };
 }
 
-function createFault({ section, key, value, isMissing }: SettingsPlace, message: string): SettingsFault {
+function createError({ section, key, value, isMissing }: SettingsLocation, message: string): SettingsError {
 	const isSecret = secretKeys.has(key) || secretSections.has(section);
-	const isAboveSections = section === '' && key !== '';
-	const allowed = isAboveSections ? 'no key may stand above the first section' : message;
+	const isBeforeFirstSection = section === '' && key !== '';
+	const allowed = isBeforeFirstSection ? 'no key is allowed before the first section' : message;
 	return { section, key, value: formatValue(value, isSecret), isMissing, allowed };
 }
 
--- a/src/core/settings/common/settingsTypes.ts
+++ b/src/core/settings/common/settingsTypes.ts
@@ -1,31 +1,31 @@
 /**
- * The kinds of values that settings files hold, shared by the schemas of all programs.
+ * Schemas of the value types in settings files, shared by all programs.
  */
 
 import { z } from 'zod';
 
-/** Where a server listens. */
+/** The address that a server listens on. */
 export interface ListenAddress {
 	readonly host: string;
-	/** 0 lets the system choose; the log and the address file then tell the port. */
+	/** 0 lets the operating system choose a port, which is then written to the log and the address file. */
 	readonly port: number;
 }
 
-const largestPort = 65_535;
+const maxPort = 65_535;
 
-/** `127.0.0.1:7001`, or `[::1]:7001`. */
-export const listenAddress = z.string().transform((text, context): ListenAddress => {
+/** An IP address and a port: `127.0.0.1:7001` or `[::1]:7001`. */
+export const listenAddressSchema = z.string().transform((text, context): ListenAddress => {
 	const match = /^(\[[0-9a-fA-F:]+\]|[0-9.]+):(\d+)$/.exec(text);
 	const port = Number(match?.[2]);
-	if (match?.[1] === undefined || port > largestPort) {
-		context.addIssue({ code: 'custom', message: 'an IP number and a port, such as 127.0.0.1:7001' });
+	if (match?.[1] === undefined || port > maxPort) {
+		context.addIssue({ code: 'custom', message: 'an IP address and a port, such as 127.0.0.1:7001' });
 		return z.NEVER;
 	}
 	return { host: match[1].replace(/^\[|\]$/g, ''), port };
 });
 
 /** A base URL without a path, normalized to its origin. */
-export const originUrl = z.string().transform((text, context): string => {
+export const originUrlSchema = z.string().transform((text, context): string => {
 	if (!URL.canParse(text) || !/^https?:\/\/[^/]+\/?$/.test(text)) {
 		context.addIssue({ code: 'custom', message: 'a URL without a path, such as http://127.0.0.1:7001' });
 		return z.NEVER;
@@ -33,45 +33,45 @@
 	return new URL(text).origin;
 });
 
-/** A whole number in a range, both ends included. */
-export function createWholeNumber(least: number, most: number): z.ZodType<number, string> {
+/** An integer within an inclusive range. */
+export function createIntegerSchema(min: number, max: number): z.ZodType<number, string> {
 	return z
 		.string()
-		.regex(/^\d+$/, `a whole number from ${least} to ${most}`)
+		.regex(/^\d+$/, `a whole number from ${min} to ${max}`)
 		.transform(Number)
-		.refine(value => value >= least && value <= most, `a whole number from ${least} to ${most}`);
+		.refine(value => value >= min && value <= max, `a whole number from ${min} to ${max}`);
 }
 
-/** A number, with fractions, in a range; both ends included. */
-export function createNumber(least: number, most: number): z.ZodType<number, string> {
-	return createFraction(`a number from ${least} to ${most}`, least, most);
+/** A decimal number within an inclusive range. */
+export function createNumberSchema(min: number, max: number): z.ZodType<number, string> {
+	return createDecimalSchema(`a number from ${min} to ${max}`, min, max);
 }
 
-/** Seconds, with fractions, in a range; both ends included. */
-export function createSeconds(least: number, most: number): z.ZodType<number, string> {
-	return createFraction(`seconds from ${least} to ${most}`, least, most);
+/** Seconds, as a decimal number within an inclusive range. */
+export function createSecondsSchema(min: number, max: number): z.ZodType<number, string> {
+	return createDecimalSchema(`seconds from ${min} to ${max}`, min, max);
 }
 
-/** A share, with fractions, in a range; both ends included. */
-export function createShare(least: number, most: number): z.ZodType<number, string> {
-	return createFraction(`a share from ${least} to ${most}`, least, most);
+/** A share, as a decimal number within an inclusive range. */
+export function createShareSchema(min: number, max: number): z.ZodType<number, string> {
+	return createDecimalSchema(`a share from ${min} to ${max}`, min, max);
 }
 
-function createFraction(allowed: string, least: number, most: number): z.ZodType<number, string> {
+function createDecimalSchema(allowed: string, min: number, max: number): z.ZodType<number, string> {
 	return z
 		.string()
 		.regex(/^\d+(\.\d+)?$/, allowed)
 		.transform(Number)
-		.refine(value => value >= least && value <= most, allowed);
+		.refine(value => value >= min && value <= max, allowed);
 }
 
-/** A name as the manifest knows them. */
-export function createName<TName extends string>(): z.ZodType<TName, string> {
+/** A name that is valid in the manifest. */
+export function createNameSchema<TName extends string>(): z.ZodType<TName, string> {
 	return z
 		.string()
 		.regex(/^[a-z0-9][a-z0-9.-]{0,62}$/, 'a name of lower-case letters, digits, dots and hyphens')
 		.transform(value => value as TName);
 }
 
-/** `yes` or `no`. */
-export const yesOrNo = z.enum(['yes', 'no'], 'yes or no').transform(value => value === 'yes');
+/** A boolean, written as `yes` or `no`. */
+export const yesOrNoSchema = z.enum(['yes', 'no'], 'yes or no').transform(value => value === 'yes');
--- a/src/core/settings/common/tlsSettings.ts
+++ b/src/core/settings/common/tlsSettings.ts
@@ -1,22 +1,22 @@
 /**
- * Where a process finds its certificates.
+ * The settings for the certificates of a process.
  */
 
 import { z } from 'zod';
 
-/** What stands before the name of an environment variable. */
+/** Marks a setting as the name of an environment variable. */
 export const environmentPrefix = 'env:';
 
-/** A file's path, or `env:NAME` for a variable that holds the PEM text itself. */
-const pemSource = z
+/** A file path, or `env:NAME` for an environment variable that contains the PEM text. */
+const pemSourceSchema = z
 	.string()
-	.regex(/^(env:[A-Za-z_][A-Za-z0-9_]*|(?!env:).+)$/, "a file's path, or env: and a variable's name");
+	.regex(/^(env:[A-Za-z_][A-Za-z0-9_]*|(?!env:).+)$/, 'a file path, or env: and the name of a variable');
 
-/** The section `[tls]`. */
+/** The section `[tls]`; `authorities` are the trusted certificate authorities. */
 export const tlsSettingsSchema = z.strictObject({
-	certificate: pemSource,
-	private_key: pemSource,
-	authorities: pemSource,
+	certificate: pemSourceSchema,
+	private_key: pemSourceSchema,
+	authorities: pemSourceSchema,
 });
 
 export type TlsSettings = z.output<typeof tlsSettingsSchema>;
--- a/src/core/settings/node/loadSettings.ts
+++ b/src/core/settings/node/loadSettings.ts
@@ -1,16 +1,16 @@
 /**
- * Reads a program's settings file; a program that cannot read or accept it exits with code 2 and one line
- * for each fault.
+ * Loads the settings file of a program. If the file is unreadable or invalid, the program prints one line for each
+ * error and exits with code 2.
  */
 
 import { readFileSync } from 'node:fs';
 import type { z } from 'zod';
-import { formatSettingsFault, parseSettings } from '../common/settings';
+import { formatSettingsError, parseSettings } from '../common/settings';
 
-/** Exit code for bad usage and bad settings; docs/OPERATIONS.md lists all of them. */
+/** Exit code for invalid arguments or settings; docs/OPERATIONS.md lists all exit codes. */
 export const exitCodeBadUsage = 2;
 
-/** Gives the checked settings, or prints the faults and ends the process with exit code 2. */
+/** Returns the validated settings, or prints the errors and exits with code 2. */
 export function loadSettingsOrExit<TSchema extends z.ZodType>(
 	schema: TSchema,
 	file: string,
@@ -19,8 +19,8 @@
 	if (parsed.isOk()) {
 		return parsed.value;
 	}
-	for (const fault of parsed.error) {
-		process.stderr.write(`${file}: ${formatSettingsFault(fault)}\n`);
+	for (const error of parsed.error) {
+		process.stderr.write(`${file}: ${formatSettingsError(error)}\n`);
 	}
 	return process.exit(exitCodeBadUsage);
 }
--- a/src/core/settings/node/settingsReload.ts
+++ b/src/core/settings/node/settingsReload.ts
@@ -1,7 +1,7 @@
 /**
- * Reads a program's settings file again at SIGHUP and tells in the log what became of it. The level of the log
- * changes at once; all else is bound to open ports and running requests, and takes effect at the next start.
- * A faulty file changes nothing.
+ * Reloads the settings file of a program on SIGHUP and logs the result. Only the log level changes at once. All
+ * other settings concern open ports and running requests, and take effect at the next start. An invalid file
+ * changes nothing.
  */
 
 import { readFileSync } from 'node:fs';
@@ -9,22 +9,22 @@
 import type { z } from 'zod';
 import type { IDisposable } from '../../../base/common/lifecycle';
 import { toDisposable } from '../../../base/common/lifecycle';
-import { formatSettingsFault, parseSettings } from '../common/settings';
+import { formatSettingsError, parseSettings } from '../common/settings';
 
-/** Settings that name the level of the log. */
-interface LeveledSettings {
+/** Settings that include the log level. */
+interface SettingsWithLogLevel {
 	readonly log: { readonly level: string };
 }
 
-/** Follows SIGHUP until disposed of. */
-export function watchSettings<TSettings extends LeveledSettings>(
+/** Reloads the settings on each SIGHUP until disposed. */
+export function watchReloadSignal<TSettings extends SettingsWithLogLevel>(
 	file: string,
 	schema: z.ZodType<TSettings>,
-	started: TSettings,
+	initialSettings: TSettings,
 	logger: Logger,
 ): IDisposable {
 	const reload = (): void => {
-		readAnew(file, schema, started, logger);
+		applySettingsFile(file, schema, initialSettings, logger);
 	};
 	process.on('SIGHUP', reload);
 	return toDisposable(() => {
@@ -32,25 +32,27 @@
 	});
 }
 
-function readAnew<TSettings extends LeveledSettings>(
+function applySettingsFile<TSettings extends SettingsWithLogLevel>(
 	file: string,
 	schema: z.ZodType<TSettings>,
-	started: TSettings,
+	initialSettings: TSettings,
 	logger: Logger,
 ): void {
 	const text = readText(file);
 	const parsed = parseSettings(schema, text);
 	if (parsed.isErr()) {
-		const faults = parsed.error.map(formatSettingsFault);
-		logger.warn({ reload: 'refused', faults }, 'settings read again and refused');
+		const faults = parsed.error.map(formatSettingsError);
+		logger.warn({ reload: 'refused', faults }, 'settings reload refused');
 		return;
 	}
 	logger.level = parsed.value.log.level;
-	const waiting = listChanged(started, parsed.value).filter(section => section !== 'log');
-	logger.info({ reload: 'done', untilNextStart: waiting }, 'settings read again');
+	const pendingSections = listChangedSections(initialSettings, parsed.value).filter(
+		section => section !== 'log',
+	);
+	logger.info({ reload: 'done', untilNextStart: pendingSections }, 'settings reloaded');
 }
 
-/** A file that cannot be read is taken for an empty one, in which every required key is missing. */
+/** Returns an empty text for an unreadable file, so that every required key is reported as missing. */
 function readText(file: string): string {
 	try {
 		return readFileSync(file, 'utf8');
@@ -59,10 +61,10 @@
 	}
 }
 
-/** Sections whose values differ. */
-function listChanged(before: object, after: object): string[] {
-	const old = new Map(Object.entries(before));
+/** Returns the names of the sections whose values differ. */
+function listChangedSections(before: object, after: object): string[] {
+	const oldSections = new Map(Object.entries(before));
 	return Object.entries(after)
-		.filter(([section, value]) => JSON.stringify(value) !== JSON.stringify(old.get(section)))
+		.filter(([section, value]) => JSON.stringify(value) !== JSON.stringify(oldSections.get(section)))
 		.map(([section]) => section);
 }
--- a/src/core/settings/test/settings.test.ts
+++ b/src/core/settings/test/settings.test.ts
@@ -1,8 +1,8 @@
 import { z } from 'zod';
 import { entrySettingsSchema } from '../common/entrySettings';
-import { formatSettingsFault, parseSettings } from '../common/settings';
-import { createWholeNumber, originUrl } from '../common/settingsTypes';
-import { isSecured } from '../common/transportRules';
+import { formatSettingsError, parseSettings } from '../common/settings';
+import { createIntegerSchema, originUrlSchema } from '../common/settingsTypes';
+import { isTlsEnabled } from '../common/transportSecurity';
 
 const plainSeeds = 'seeds = http://127.0.0.1:7102, http://127.0.0.1:7103\nplain = yes';
 const plainOperators = 'listen = 127.0.0.1:7201\nplain = yes';
@@ -38,16 +38,16 @@
 		expect(settings.limits.max_body_bytes).toBe(8_388_608);
 	});
 
-	it('names every fault with section, key, value and what is allowed', () => {
+	it('reports every error with section, key, value and what is allowed', () => {
 		const text = createText({
 			'listen = 127.0.0.1:7001': 'listen = nowhere',
 			'key = a-key-that-is-long-enough': 'key = short',
 			'zone = kingston-a': 'zoen = kingston-a',
 		});
-		const lines = parseSettings(entrySettingsSchema, text)._unsafeUnwrapErr().map(formatSettingsFault);
+		const lines = parseSettings(entrySettingsSchema, text)._unsafeUnwrapErr().map(formatSettingsError);
 		expect(lines).toEqual(
 			expect.arrayContaining([
-				'[callers] listen = nowhere: an IP number and a port, such as 127.0.0.1:7001',
+				'[callers] listen = nowhere: an IP address and a port, such as 127.0.0.1:7001',
 				'[tickets] key = (hidden, 5 characters): at least 16 characters',
 				'[instance] zoen = kingston-a: no such key in this section',
 			]),
@@ -55,13 +55,13 @@
 		expect(lines.some(line => line.startsWith('[instance] zone is missing'))).toBe(true);
 	});
 
-	// A deployment hands over a bound that can't be read. Taken for the default it would be broken, or leave
-	// callers without the repeats that it allows, and nobody would know.
-	it('names a bound of repeated sends that is none, and takes one that is', () => {
-		const bound = (text: string): string => `${createText()}\n[retries]\n${text}`;
-		const lines = parseSettings(entrySettingsSchema, bound('ratio = 2\nslack = -1\nwindow_s = soon'))
+	// Guards against silently replacing an invalid retry limit by its default. The entry would then retry more often
+	// than the operator allows, or less, without any notice.
+	it('rejects invalid retry limits and accepts valid ones', () => {
+		const withRetries = (text: string): string => `${createText()}\n[retries]\n${text}`;
+		const lines = parseSettings(entrySettingsSchema, withRetries('ratio = 2\nslack = -1\nwindow_s = soon'))
 			._unsafeUnwrapErr()
-			.map(formatSettingsFault);
+			.map(formatSettingsError);
 		expect(lines).toEqual([
 			'[retries] ratio = 2: a share from 0 to 1',
 			'[retries] slack = -1: a number from 0 to 100000',
@@ -69,14 +69,14 @@
 		]);
 		const { retries } = parseSettings(
 			entrySettingsSchema,
-			bound('ratio = 0.05\nslack = 12\nwindow_s = 10'),
+			withRetries('ratio = 0.05\nslack = 12\nwindow_s = 10'),
 		)._unsafeUnwrap();
 		expect(retries).toEqual({ ratio: 0.05, slack: 12, window_s: 10 });
 	});
 
-	// A deployment is scaled down, and its bounds with it: 210 becomes 37.5. An entry that takes whole numbers only
-	// ends before it listens, at every start, and the whole fleet with it; callers find no connection at all.
-	it('takes bounds that are fractions', () => {
+	// Scaling a deployment down scales its limits, for example from 210 to 37.5. If only integers were accepted, every
+	// entry of the fleet would exit at startup before it listens.
+	it('accepts fractional limits', () => {
 		const text = createText({
 			'url = http://127.0.0.1:7300': 'url = http://127.0.0.1:7300\nnews_within_ms = 1071.5',
 		});
@@ -85,65 +85,65 @@
 		expect(settings.platform.news_within_ms).toBe(1_071.5);
 	});
 
-	// An operator mistypes the ticket key's name or cuts its value short, and the fault goes to a log that
-	// many can read. With the value in it, each of them could sign tickets.
+	// A misspelt key name or a truncated ticket key is reported in logs that many people can read. If the error showed
+	// the value, each of them could sign tickets.
 	it('never shows the value of a secret', () => {
 		const text = createText({
 			'key = a-key-that-is-long-enough': 'key = short-secret\npreviuos_key = pst-the-old-secret',
 		});
-		const faults = parseSettings(entrySettingsSchema, text)._unsafeUnwrapErr();
-		expect(faults.map(fault => fault.key)).toEqual(['key', 'previuos_key']);
-		expect(JSON.stringify(faults)).not.toMatch(/secret/);
+		const errors = parseSettings(entrySettingsSchema, text)._unsafeUnwrapErr();
+		expect(errors.map(error => error.key)).toEqual(['key', 'previuos_key']);
+		expect(JSON.stringify(errors)).not.toMatch(/secret/);
 	});
 
-	it('shows a value that the INI library takes for a boolean', () => {
+	it('shows a value that the INI library parses as a boolean', () => {
 		const text = createText({ 'zone = kingston-a': 'zone = true' });
-		const lines = parseSettings(entrySettingsSchema, text)._unsafeUnwrapErr().map(formatSettingsFault);
+		const lines = parseSettings(entrySettingsSchema, text)._unsafeUnwrapErr().map(formatSettingsError);
 		expect(lines[0]).toMatch(/^\[instance\] zone = true: /);
 	});
 });
 
-describe('the place of a fault', () => {
+describe('the location of an error', () => {
 	const engines = z.strictObject({
 		engine: z.record(
 			z.string(),
-			z.strictObject({ slots: createWholeNumber(1, 9), key: z.string().optional() }),
+			z.strictObject({ slots: createIntegerSchema(1, 9), key: z.string().optional() }),
 		),
 		hosts: z.strictObject({
 			urls: z
 				.string()
 				.transform(text => text.split(','))
-				.pipe(z.array(originUrl)),
+				.pipe(z.array(originUrlSchema)),
 		}),
 	});
 
-	function listPlaces(text: string): string[] {
-		const faults = parseSettings(engines, text)._unsafeUnwrapErr();
-		return faults.map(formatSettingsFault).map(line => line.replace(/: .*$/, ''));
+	function listLocations(text: string): string[] {
+		const errors = parseSettings(engines, text)._unsafeUnwrapErr();
+		return errors.map(formatSettingsError).map(line => line.replace(/: .*$/, ''));
 	}
 
-	// An operator runs dozens of engines from one file and mistypes a number of one of them. Named by half of
-	// its section, the fault could be any engine's, and the section that it names does not exist.
-	it('is named by the whole of a dotted section', () => {
+	// One file can configure dozens of engines in dotted sections. If an error showed only the first part of the section
+	// name, it would name a section that does not exist, and the operator could not tell which engine is affected.
+	it('contains the full name of a dotted section', () => {
 		const hosts = '\n[hosts]\nurls = http://127.0.0.1:1';
-		expect(listPlaces('[engine.k1]\nslots = -1\nslot = 2\n[engine.k2]' + hosts)).toEqual([
+		expect(listLocations('[engine.k1]\nslots = -1\nslot = 2\n[engine.k2]' + hosts)).toEqual([
 			'[engine.k1] slots = -1',
 			'[engine.k1] slot = 2',
 			'[engine.k2] slots is missing',
 		]);
 	});
 
-	it('is the key where one part of its value is at fault, and a section that is too much or missing', () => {
-		expect(listPlaces('[engine.k1]\nslots = 1\n[hosts]\nurls = nowhere\n[host]\na = 1')).toEqual([
+	it('is the key if one part of its value is invalid, and the section if it is unknown or missing', () => {
+		expect(listLocations('[engine.k1]\nslots = 1\n[hosts]\nurls = nowhere\n[host]\na = 1')).toEqual([
 			'[hosts] urls = nowhere',
 			'[host]',
 		]);
-		expect(listPlaces('[engine.k1]\nslots = 1')).toEqual(['[hosts] is missing']);
+		expect(listLocations('[engine.k1]\nslots = 1')).toEqual(['[hosts] is missing']);
 	});
 
-	// An operator forgets the heading above the ticket key. The fault goes to a log that many can read.
-	it('hides a value that stands above the first section', () => {
-		const lines = listPlaces(
+	// If the section header above the ticket key is missing, the error goes to a log that many people can read.
+	it('hides a value before the first section', () => {
+		const lines = listLocations(
 			'key = the-ticket-key\n[engine.k1]\nslots = 1\n[hosts]\nurls = http://127.0.0.1:1',
 		);
 		expect(lines).toEqual(['key = (hidden, 14 characters)']);
@@ -157,54 +157,53 @@
 		[plainSeeds]: 'seeds = https://127.0.0.1:7102',
 	};
 
-	function listFaults(text: string): string[] {
+	function listErrors(text: string): string[] {
 		return parseSettings(entrySettingsSchema, text).match(
 			() => [],
-			faults => faults.map(formatSettingsFault),
+			errors => errors.map(formatSettingsError),
 		);
 	}
 
-	it('is secured by certificates, port by port, unless a port is said to be plain', () => {
+	it('uses TLS for each port, unless the settings mark the port as plain', () => {
 		const text = createText(securedPeers) + tls;
 		const settings = parseSettings(entrySettingsSchema, text)._unsafeUnwrap();
-		expect([isSecured(settings, 'peers'), isSecured(settings, 'operators')]).toEqual([true, false]);
+		expect([isTlsEnabled(settings, 'peers'), isTlsEnabled(settings, 'operators')]).toEqual([true, false]);
 		const plain = parseSettings(entrySettingsSchema, createText())._unsafeUnwrap();
-		expect([isSecured(plain, 'peers'), isSecured(plain, 'operators')]).toEqual([false, false]);
+		expect([isTlsEnabled(plain, 'peers'), isTlsEnabled(plain, 'operators')]).toEqual([false, false]);
 	});
 
-	// An operator forgets the certificates of a new instance. If it started all the same, its peers' and
-	// operators' traffic would cross the network in the clear, and nothing would show it.
-	it('is never plain without being said so', () => {
-		const silent = createText({
+	// Guards against starting an instance whose certificates were forgotten. The traffic of its peers and operators would
+	// be unencrypted without any notice.
+	it('is unencrypted only if the settings say so', () => {
+		const withoutTls = createText({
 			[plainSeeds]: 'seeds = http://127.0.0.1:7102',
 			[plainOperators]: 'listen = 127.0.0.1:7201\nplain = no',
 		});
-		expect(listFaults(silent)).toEqual([
+		expect(listErrors(withoutTls)).toEqual([
 			'[peers] plain is missing: yes, or a section [tls] with certificates',
 			'[operators] plain = no: yes, or a section [tls] with certificates',
 		]);
 	});
 
-	// An operator adds certificates and forgets the URLs, or writes URLs with https and says plain. Decided
-	// one way or the other, peers would either not reach each other or talk in the clear while everybody
-	// believes that they do not.
-	it('refuses settings that contradict each other', () => {
-		const forgotten = createText({ [plainSeeds]: 'seeds = http://127.0.0.1:7102' }) + tls;
-		expect(listFaults(forgotten)).toEqual([
+	// The settings contradict each other when certificates are added but the URLs keep http, or when the URLs use https
+	// but a port is plain. Choosing either side would leave peers unable to connect, or unencrypted without notice.
+	it('rejects contradictory settings', () => {
+		const httpUrls = createText({ [plainSeeds]: 'seeds = http://127.0.0.1:7102' }) + tls;
+		expect(listErrors(httpUrls)).toEqual([
 			expect.stringMatching(/^\[peers\] url = .*: a URL that begins with https:/),
 			expect.stringMatching(/^\[peers\] seeds = .*: a URL that begins with https:/),
 		]);
 		const plain = { ...securedPeers, [plainSeeds]: 'seeds = https://127.0.0.1:7102\nplain = yes' };
-		expect(listFaults(createText(plain) + tls)).toEqual([
+		expect(listErrors(createText(plain) + tls)).toEqual([
 			expect.stringMatching(/^\[peers\] url = .*: a URL that begins with http:.*is plain$/),
 			expect.stringMatching(/^\[peers\] seeds = .*: a URL that begins with http:.*is plain$/),
 		]);
 	});
 
-	it('names a section [tls] that is not whole', () => {
+	it('rejects an incomplete section [tls]', () => {
 		const text = createText(securedPeers) + tls.replace(/\nprivate_key.*/, '\nprivate_key = env:');
-		expect(listFaults(text)).toEqual([
-			"[tls] private_key = env:: a file's path, or env: and a variable's name",
+		expect(listErrors(text)).toEqual([
+			'[tls] private_key = env:: a file path, or env: and the name of a variable',
 		]);
 	});
 });
--- a/src/core/settings/test/settingsReload.test.ts
+++ b/src/core/settings/test/settingsReload.test.ts
@@ -4,27 +4,27 @@
 import { pino } from 'pino';
 import { z } from 'zod';
 import { parseSettings } from '../common/settings';
-import { watchSettings } from '../node/settingsReload';
+import { watchReloadSignal } from '../node/settingsReload';
 
 const schema = z.strictObject({
 	log: z.strictObject({ level: z.enum(['info', 'debug']).default('info') }).prefault({}),
 	limits: z.strictObject({ most: z.string() }),
 });
 
-interface Reloading {
+interface ReloadFixture {
 	readonly lines: Record<string, unknown>[];
 	readonly logger: pino.Logger;
 	write(text: string): void;
 	end(): void;
 }
 
-function startReloading(text: string): Reloading {
+function startFixture(text: string): ReloadFixture {
 	const folder = mkdtempSync(join(tmpdir(), 'settings-'));
 	const file = join(folder, 'entry.ini');
 	writeFileSync(file, text);
 	const lines: Record<string, unknown>[] = [];
 	const logger = pino({}, { write: line => lines.push(JSON.parse(line) as Record<string, unknown>) });
-	const watched = watchSettings(file, schema, parseSettings(schema, text)._unsafeUnwrap(), logger);
+	const watcher = watchReloadSignal(file, schema, parseSettings(schema, text)._unsafeUnwrap(), logger);
 	return {
 		lines,
 		logger,
@@ -33,30 +33,28 @@
 			process.emit('SIGHUP');
 		},
 		end: () => {
-			watched.dispose();
+			watcher.dispose();
 			rmSync(folder, { recursive: true });
 		},
 	};
 }
 
-describe('settings at SIGHUP', () => {
-	it('changes the level of the log at once, and tells what waits for the next start', () => {
-		const reloading = startReloading('[limits]\nmost = 5');
-		reloading.write('[limits]\nmost = 6\n[log]\nlevel = debug');
-		expect(reloading.logger.level).toBe('debug');
-		expect(reloading.lines).toEqual([
-			expect.objectContaining({ reload: 'done', untilNextStart: ['limits'] }),
-		]);
-		reloading.end();
+describe('watchReloadSignal', () => {
+	it('changes the log level at once and logs which sections take effect at the next start', () => {
+		const fixture = startFixture('[limits]\nmost = 5');
+		fixture.write('[limits]\nmost = 6\n[log]\nlevel = debug');
+		expect(fixture.logger.level).toBe('debug');
+		expect(fixture.lines).toEqual([expect.objectContaining({ reload: 'done', untilNextStart: ['limits'] })]);
+		fixture.end();
 	});
 
-	// A pipeline writes a file with a misspelt key and sends the signal. Ended, or taken over in part, the process
-	// would be worse off than before.
-	it('changes nothing by a faulty file, and names its faults', () => {
-		const reloading = startReloading('[limits]\nmost = 5');
-		reloading.write('[limits]\nmots = 6\n[log]\nlevel = debug');
-		expect(reloading.logger.level).toBe('info');
-		expect(reloading.lines[0]).toMatchObject({ reload: 'refused' });
-		reloading.end();
+	// Guards against a deployment pipeline that writes a file with a misspelt key and sends SIGHUP. The process must
+	// neither exit nor apply the file in part.
+	it('changes nothing if the file is invalid, and logs the errors', () => {
+		const fixture = startFixture('[limits]\nmost = 5');
+		fixture.write('[limits]\nmots = 6\n[log]\nlevel = debug');
+		expect(fixture.logger.level).toBe('info');
+		expect(fixture.lines[0]).toMatchObject({ reload: 'refused' });
+		fixture.end();
 	});
 });
--- a/src/core/status/common/entryStatus.ts
+++ b/src/core/status/common/entryStatus.ts
@@ -1,15 +1,15 @@
 /**
- * What an entry tells of itself on the operators' port under `/v1/status`. The shapes are schemas, since
- * `anvilroadctl` may be older or newer than the entry it asks: it takes what it knows and leaves the rest.
- * Ages and durations are milliseconds as of the answer; ids are plain strings, as they are only shown.
+ * The status of an entry, served on the operators' port under `/v1/status`. The types are defined by schemas, since
+ * `anvilroadctl` may be older or newer than the entry: properties that are not in the schema are ignored. Ages and
+ * durations are in milliseconds at the time of the answer. Ids are plain strings, since they are only displayed.
  */
 
 import { z } from 'zod';
 
-/** Whether the entry takes requests, and if not, why. */
+/** Whether the entry accepts requests, and if not, why. */
 export const readinessSchema = z.object({
 	isReady: z.boolean(),
-	/** One for each thing that is missing; empty when ready. */
+	/** One reason for each missing precondition; empty if the entry is ready. */
 	reasons: z.array(z.string()),
 });
 
@@ -17,34 +17,34 @@
 export const manifestStatusSchema = z.object({
 	version: z.number(),
 	digest: z.string(),
-	/** Since this entry put it in force. */
+	/** Milliseconds since this entry put the manifest in force. */
 	ageMs: z.number(),
 });
 
-/** Another entry as this one sees it. */
+/** The status of another entry, as known to this entry. */
 export const peerStatusSchema = z.object({
 	instance: z.string(),
 	region: z.string(),
 	zone: z.string(),
-	/** State of its chart. */
+	/** The state of the peer's state machine. */
 	state: z.string(),
-	/** Age of the newest view of it, or null where there is none. */
+	/** The age of the newest view received of the peer, or null if there is none. */
 	viewAgeMs: z.number().nullable(),
 	manifestVersion: z.number().nullable(),
 });
 
-/** A target as this entry sees it. */
+/** The status of a target, as known to this entry. */
 export const targetStatusSchema = z.object({
 	id: z.string(),
 	service: z.string(),
 	zone: z.string(),
-	/** State of its chart. */
+	/** The state of the target's state machine. */
 	state: z.string(),
-	/** Requests of this entry that run there. */
+	/** Requests of this entry that are running at the target. */
 	running: z.number(),
-	/** How many this entry may run there at present. */
+	/** The maximum number of requests that this entry may currently run at the target. */
 	limit: z.number(),
-	/** The sign that led to the state. */
+	/** The event that led to the state. */
 	lastSign: z.string(),
 });
 
@@ -53,13 +53,13 @@
 	service: z.string(),
 	queued: z.number(),
 	running: z.number(),
-	/** Predicted wait of a normal request that arrives now. */
+	/** The predicted wait of a request of class `normal` that arrives now. */
 	waitMs: z.number(),
 });
 
-/** How long ago the platform last gave a good answer. */
+/** When the platform was last read successfully. */
 export const platformStatusSchema = z.object({
-	/** Null where it never did since this entry started. */
+	/** Null if there was no successful read since this entry started. */
 	lastReadAgeMs: z.number().nullable(),
 });
 
@@ -68,22 +68,22 @@
 	boot: z.string(),
 	region: z.string(),
 	zone: z.string(),
-	/** Version of the program. */
+	/** The version of the program. */
 	version: z.string(),
 	uptimeMs: z.number(),
 	readiness: readinessSchema,
 	isLeaving: z.boolean(),
-	/** Null before the first one. */
+	/** Null before the first manifest. */
 	manifest: manifestStatusSchema.nullable(),
 	platform: platformStatusSchema,
 	peers: z.array(peerStatusSchema),
 	targets: z.array(targetStatusSchema),
 	services: z.array(serviceStatusSchema),
-	/** Tickets spent here and remembered until they expire. */
+	/** Tickets that were used at this entry and are kept until they expire. */
 	ticketsOutstanding: z.number(),
-	/** Bytes of request bodies in memory. */
+	/** Total bytes of request bodies in memory. */
 	heldBytes: z.number(),
-	/** The bound of `heldBytes`. */
+	/** The limit of `heldBytes`. */
 	mostHeldBytes: z.number(),
 });
 
--- a/src/core/status/common/operatorsAnswers.ts
+++ b/src/core/status/common/operatorsAnswers.ts
@@ -1,16 +1,16 @@
 /**
- * The other JSON answers of the operators' port: the trail, one request's record, the manifest in force and
- * faults.
+ * The JSON answers of the operators' port besides the status: the audit trail, the record of a request, the manifest
+ * in force and errors.
  */
 
 import { z } from 'zod';
 import type { AuditRecord } from '../../audit/common/auditTrail';
 import type { RequestRecord } from '../../explain/common/requestJournal';
 
-/** One change, as `/v1/trail` tells it. */
+/** A record of the audit trail, as served by `/v1/trail`. */
 export const trailRecordSchema = z.object({
 	sequence: z.number(),
-	/** ISO 8601, by the entry's wall clock. */
+	/** In ISO 8601 format, by the wall clock of the process. */
 	at: z.string(),
 	kind: z.string(),
 	subject: z.string(),
@@ -22,12 +22,12 @@
 
 export const trailAnswerSchema = z.object({
 	instance: z.string(),
-	/** A follower that sees another boot starts anew: sequences count from 1 again. */
+	/** Changes at each start of the process. Sequence numbers then start at 1 again, so readers must start over. */
 	boot: z.string(),
 	records: z.array(trailRecordSchema),
 });
 
-/** One request, as `/v1/explain/{id}` tells it. */
+/** The record of a request, as served by `/v1/explain/{id}`. */
 export const explainAnswerSchema = z.object({
 	instance: z.string(),
 	id: z.string(),
@@ -38,15 +38,15 @@
 	steps: z.array(z.object({ sinceArrivalMs: z.number(), step: z.string(), detail: z.string() })),
 });
 
-/** The manifest in force, as `/v1/manifest` tells it. */
+/** The manifest in force, as served by `/v1/manifest`. */
 export const manifestAnswerSchema = z.object({
 	version: z.number(),
 	digest: z.string(),
 	document: z.unknown(),
 });
 
-/** Why the operators' port has no other answer. */
-export enum OperatorsFault {
+/** The error codes of the operators' port. */
+export enum OperatorsErrorCode {
 	UnknownRoute = 'unknown-route',
 	MethodNotAllowed = 'method-not-allowed',
 	MalformedQuery = 'malformed-query',
@@ -55,13 +55,16 @@
 	Internal = 'internal',
 }
 
-export const faultAnswerSchema = z.object({ error: z.enum(OperatorsFault), message: z.string() });
+export const operatorsErrorAnswerSchema = z.object({
+	error: z.enum(OperatorsErrorCode),
+	message: z.string(),
+});
 
 export type TrailRecord = z.output<typeof trailRecordSchema>;
 export type TrailAnswer = z.output<typeof trailAnswerSchema>;
 export type ExplainAnswer = z.output<typeof explainAnswerSchema>;
 export type ManifestAnswer = z.output<typeof manifestAnswerSchema>;
-export type FaultAnswer = z.output<typeof faultAnswerSchema>;
+export type OperatorsErrorAnswer = z.output<typeof operatorsErrorAnswerSchema>;
 
 export function createTrailRecord(record: AuditRecord): TrailRecord {
 	return {
--- a/src/core/telemetry/common/entryMetricDefinitions.ts
+++ b/src/core/telemetry/common/entryMetricDefinitions.ts
@@ -1,21 +1,21 @@
 /**
- * The names, help texts and labels of an entry's metrics, apart from the library that keeps them, so that
- * a test can hold docs/METRICS.md against them. Names follow the Prometheus conventions: base units,
- * `_total` for counters.
+ * The names, help texts and labels of an entry's metrics. They are defined without the metrics library, so that
+ * a test can compare them with docs/METRICS.md. Names follow the Prometheus conventions: base units, `_total`
+ * for counters.
  *
  * Label values come from closed lists or from the manifest. No metric has the organisation as a label: 540
- * organisations by 7 models by classes and outcomes would make tens of thousands of series an entry and
- * spend the memory that is meant for requests. What one organisation sees is told by `explain`.
+ * organisations times 7 models, classes and outcomes would create tens of thousands of time series per entry and
+ * use memory that requests need. `anvilroadctl explain` shows single requests with their organisation.
  */
 
-/** What is needed to register a metric. */
+/** The parameters with which a metric is registered. */
 export interface MetricDefinition<TLabel extends string = string> {
 	readonly name: string;
 	readonly help: string;
 	readonly labelNames: readonly TLabel[];
 }
 
-/** A histogram, with its upper bounds. */
+/** A histogram with the upper bounds of its buckets. */
 export interface HistogramDefinition<TLabel extends string = string> extends MetricDefinition<TLabel> {
 	readonly buckets: readonly number[];
 }
@@ -35,13 +35,13 @@
 	return { ...definition, buckets };
 }
 
-/** Dense around 0.61 s, the bound for the first token that 95 in 100 requests are meant to meet. */
+/** In seconds; dense around 0.61 s, the 95th percentile target for the time to the first token. */
 const firstByteBuckets = [0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.61, 0.75, 1, 2, 5, 15, 60, 300];
 
-/** Dense around 36 ms, the bound between two tokens. */
+/** In seconds; dense around 36 ms, the target for the time between two tokens. */
 const gapBuckets = [0.005, 0.01, 0.02, 0.028, 0.036, 0.045, 0.06, 0.1, 0.25, 1, 5, 30];
 
-/** From short questions to drafts of many minutes. */
+/** In seconds; from short requests to drafts that run for many minutes. */
 const answerBuckets = [0.01, 0.05, 0.1, 0.25, 0.5, 1, 2, 5, 10, 30, 60, 120, 300, 600];
 
 export const counterDefinitions = {
@@ -154,7 +154,7 @@
 	),
 };
 
-/** Every metric of an entry, besides those of the process itself. */
+/** Returns all metrics of an entry, except the default metrics of the process. */
 export function listEntryMetrics(): MetricDefinition[] {
 	return [
 		...Object.values<MetricDefinition>(counterDefinitions),
--- a/src/core/telemetry/common/entryMetricLabels.ts
+++ b/src/core/telemetry/common/entryMetricLabels.ts
@@ -1,30 +1,30 @@
 /**
- * The closed lists of label values that have no enum of their own elsewhere.
+ * Closed lists of metric label values that are not defined by an enum elsewhere.
  */
 
 export enum TicketResult {
 	Issued = 'issued',
-	/** Spent on a call that was dispatched. */
+	/** Used for a call that was dispatched. */
 	Spent = 'spent',
-	/** Spent by telling the caller `not-run`. */
+	/** Used up by answering the caller with `not-run`. */
 	Refused = 'refused',
-	/** Sent again while its call ran; the answer is shared. */
+	/** Sent again while its call was running; both requests get the same answer. */
 	Joined = 'joined',
-	/** Sent again after its call; the kept answer, or the refusal that the call ended with, was given. */
+	/** Sent again after its call ended; answered with the stored answer or refusal of that call. */
 	Replayed = 'replayed',
-	/** Carried to its issuer in the same region. */
+	/** Forwarded to the entry of the same region that issued the ticket. */
 	Forwarded = 'forwarded',
-	/** Not taken: answered with a `ticket-…` error kind, or with `unknown` before its body was read. */
+	/** Answered with an error kind `ticket-…`, or with the outcome `unknown` before the request body was read. */
 	Rejected = 'rejected',
 }
 
 export enum ManifestResult {
 	Accepted = 'accepted',
-	/** Does not pass the check; the one in force stays. */
+	/** Failed validation; the current manifest stays in force. */
 	Refused = 'refused',
-	/** Lower than or equal to the one in force. */
+	/** The version is lower than or equal to the version in force. */
 	Old = 'old',
-	/** The version in force with another digest. */
+	/** The version equals the version in force, but the digest differs. */
 	Conflict = 'conflict',
 }
 
@@ -36,9 +36,9 @@
 
 export enum ReadResult {
 	Fresh = 'fresh',
-	/** A watch that ended without news. */
+	/** A watch that ended without a change. */
 	Unchanged = 'unchanged',
-	/** Refused by the platform's rate limit. */
+	/** Rejected by the rate limit of the platform. */
 	Refused = 'refused',
 	Failed = 'failed',
 	/** The answer showed that the store was restored from an older copy. */
@@ -58,13 +58,13 @@
 
 export enum SentAwayResult {
 	Answered = 'answered',
-	/** Refused there unrun; decided again here. */
+	/** Refused by the other region without running; this entry decides again how to run the request. */
 	Refused = 'refused',
 	Failed = 'failed',
 }
 
-/** The label of a service that the manifest does not name. */
-export const otherService = 'other';
+/** The value of `service` for services that are not in the manifest. */
+export const otherServiceLabel = 'other';
 
-/** The value of `error` for a request that was answered by its target. */
-export const noError = 'none';
+/** The value of `error` for requests that were answered by their target. */
+export const noErrorLabel = 'none';
--- a/src/core/telemetry/node/entryMetrics.ts
+++ b/src/core/telemetry/node/entryMetrics.ts
@@ -1,6 +1,6 @@
 /**
- * The metrics of an entry, as typed methods over a prom-client registry. Gauges are set by the entry as its
- * state changes or on its ticks; counting costs a map look-up and no allocation of lines.
+ * The metrics of an entry, as typed methods over a prom-client registry. The entry sets gauges when its state
+ * changes or on a timer. Incrementing a counter costs a map lookup and does not build text output.
  */
 
 import { Counter, Gauge, Histogram, Registry, collectDefaultMetrics } from 'prom-client';
@@ -19,38 +19,38 @@
 	SentAwayResult,
 	TicketResult,
 } from '../common/entryMetricLabels';
-import { noError, otherService, ReadResult } from '../common/entryMetricLabels';
+import { noErrorLabel, otherServiceLabel, ReadResult } from '../common/entryMetricLabels';
 import { StateGauge } from './stateGauge';
 
 const millisecondsPerSecond = 1_000;
 
-/** The one owner of the peers' counts. */
-const allPeers = 'peers';
+/** The owner of all peer counts in the state gauge, which expects an owner for each count. */
+const peersOwner = 'peers';
 
-/** What stands in the labels of `anvilroad_info`. */
-export interface ProcessAbout {
+/** The labels of `anvilroad_info`. */
+export interface ProcessInfo {
 	readonly version: string;
 	readonly instance: string;
 	readonly region: string;
 	readonly zone: string;
 }
 
-/** Numbers of one service at one moment. */
+/** The current gauge values of one service. */
 export interface ServiceGauges {
 	readonly queued: number;
 	readonly running: number;
 	readonly waitMs: number;
-	/** Targets of the service by state of their chart. */
+	/** Number of targets of the service by the state of their state machine. */
 	readonly targetsByState: ReadonlyMap<string, number>;
 }
 
 /**
- * How often the lateness of the event loop is sampled, in milliseconds. The library's usual 10 ms wakes an idle
- * process a hundred times a second, where its own timers wake it some ten times.
+ * The sampling interval of the event loop delay, in milliseconds. The library's default of 10 ms wakes an idle
+ * process a hundred times a second, while the timers of the entry wake it about ten times a second.
  */
-const loopSampleMs = 1_000;
+const eventLoopSampleMs = 1_000;
 
-/** Counts what happens at one entry; `render` gives the page for `/metrics`. */
+/** Records the metrics of one entry; `render` returns the page for `/metrics`. */
 export class EntryMetrics implements IMetricsPage {
 	readonly registry = new Registry();
 	readonly contentType = this.registry.contentType;
@@ -93,22 +93,22 @@
 
 	private services: ReadonlySet<string> = new Set();
 
-	constructor(about: ProcessAbout) {
-		this.info.set({ ...about }, 1);
-		// A gauge without labels begins at 0, which would read as a certificate that expired in 1970.
+	constructor(processInfo: ProcessInfo) {
+		this.info.set({ ...processInfo }, 1);
+		// A gauge without labels starts at 0, which would mean a certificate that expired in 1970.
 		this.certificateExpiry.remove({});
-		collectDefaultMetrics({ register: this.registry, eventLoopMonitoringPrecision: loopSampleMs });
+		collectDefaultMetrics({ register: this.registry, eventLoopMonitoringPrecision: eventLoopSampleMs });
 	}
 
 	/**
-	 * Says which services have labels of their own. A caller can name any service in its path; without this
-	 * list each name that somebody guesses would make series that live as long as the process.
+	 * Sets the services that get their own label value. A caller can use any service name in the path. Without
+	 * this list, each guessed name would create time series that exist until the process ends.
 	 */
 	setServices(names: Iterable<string>): void {
 		const next = new Set(names);
-		for (const gone of this.services) {
-			if (!next.has(gone)) {
-				this.removeGauges(gone);
+		for (const previous of this.services) {
+			if (!next.has(previous)) {
+				this.removeGauges(previous);
 			}
 		}
 		this.services = next;
@@ -121,25 +121,25 @@
 		error: ErrorKind | undefined,
 	): void {
 		this.requests.inc({
-			service: this.findLabel(service),
+			service: this.findServiceLabel(service),
 			class: requestClass,
 			outcome,
-			error: error ?? noError,
+			error: error ?? noErrorLabel,
 		});
 	}
 
 	noteFirstByte(service: string, requestClass: RequestClass, tookMs: number): void {
-		const labels = { service: this.findLabel(service), class: requestClass };
+		const labels = { service: this.findServiceLabel(service), class: requestClass };
 		this.firstByte.observe(labels, tookMs / millisecondsPerSecond);
 	}
 
 	noteAnswer(service: string, requestClass: RequestClass, tookMs: number): void {
-		const labels = { service: this.findLabel(service), class: requestClass };
+		const labels = { service: this.findServiceLabel(service), class: requestClass };
 		this.answer.observe(labels, tookMs / millisecondsPerSecond);
 	}
 
 	noteGap(service: string, requestClass: RequestClass, gapMs: number): void {
-		const labels = { service: this.findLabel(service), class: requestClass };
+		const labels = { service: this.findServiceLabel(service), class: requestClass };
 		this.gap.observe(labels, gapMs / millisecondsPerSecond);
 	}
 
@@ -148,24 +148,24 @@
 	}
 
 	noteQueueWait(service: string, requestClass: RequestClass, waitedMs: number): void {
-		const labels = { service: this.findLabel(service), class: requestClass };
+		const labels = { service: this.findServiceLabel(service), class: requestClass };
 		this.queueWait.observe(labels, waitedMs / millisecondsPerSecond);
 	}
 
-	/** @param end How it ended, from the scheduler's closed list of ends. */
+	/** @param end How the attempt ended, one of the scheduler's closed list of values. */
 	noteAttempt(service: string, end: string): void {
-		this.attempts.inc({ service: this.findLabel(service), end });
+		this.attempts.inc({ service: this.findServiceLabel(service), end });
 	}
 
 	noteSentAway(service: string, region: string, result: SentAwayResult): void {
-		this.sentAway.inc({ service: this.findLabel(service), region, result });
+		this.sentAway.inc({ service: this.findServiceLabel(service), region, result });
 	}
 
 	noteLinkBytes(region: string, direction: ByteDirection, bytes: number): void {
 		this.linkBytes.inc({ region, direction }, bytes);
 	}
 
-	/** @param count Tickets of a lookup are issued several at a time. */
+	/** @param count More than 1 when a lookup issues several tickets. */
 	noteTicket(result: TicketResult, count = 1): void {
 		this.tickets.inc({ result }, count);
 	}
@@ -227,18 +227,18 @@
 		this.targets.set(service, gauges.targetsByState);
 	}
 
-	/** Replaces the counts of peers by state; a state that is left out has none. */
+	/** Replaces the number of peers by state; states that are not in the map are removed. */
 	setPeers(countsByState: ReadonlyMap<string, number>): void {
-		this.peers.set(allPeers, countsByState);
+		this.peers.set(peersOwner, countsByState);
 	}
 
-	/** The page for `/metrics`, in the registry's content type. */
+	/** Returns the page for `/metrics`, in the content type of the registry. */
 	render(): Promise<string> {
 		return this.registry.metrics();
 	}
 
-	private findLabel(service: string): string {
-		return this.services.has(service) ? service : otherService;
+	private findServiceLabel(service: string): string {
+		return this.services.has(service) ? service : otherServiceLabel;
 	}
 
 	private removeGauges(service: string): void {
--- a/src/core/telemetry/node/logger.ts
+++ b/src/core/telemetry/node/logger.ts
@@ -1,6 +1,6 @@
 /**
- * The log: one JSON line for each change of state, on standard output. What happens often is counted by
- * metrics and never logged a request at a time, so the log stays readable when an entry is busiest.
+ * The log: one JSON line for each state change, on standard output. Frequent events are counted by metrics and not
+ * logged for each request, so that the log stays readable under high load.
  */
 
 import type { DestinationStream, Logger } from 'pino';
@@ -14,30 +14,31 @@
 export type LogLevel = (typeof logLevels)[number];
 
 /**
- * Bytes of log that wait for a reader of standard output. When that reader stalls, a synchronous write
- * would stop the one loop and with it every request; an unbounded buffer would take the memory. Beyond
- * this bound lines are dropped, which shows as gaps in the log's audit sequence.
+ * Bytes of log lines buffered for the reader of standard output. If that reader stalls, a synchronous write would
+ * block the event loop and every request, and an unbounded buffer would exhaust the memory. Lines that exceed the
+ * limit are dropped, which is visible as gaps in the sequence numbers of the audit lines.
  */
-const mostWaitingBytes = 1_048_576;
+const maxBufferedBytes = 1_048_576;
 
 /**
- * Lines are written together, this many bytes or milliseconds of them at a time. Each write wakes a thread of the
- * pool: at ten requests a second of five lines each, fifty times a second where two writes hold the same lines.
+ * Lines are written in batches when this many bytes are buffered or this many milliseconds have passed. Each write
+ * wakes a thread of the pool. At ten requests a second with five lines each, unbatched writes wake a thread fifty
+ * times a second, while two writes can hold the same lines.
  */
-const leastWriteBytes = 8_192;
-const longestHoldMs = 1_000;
+const minWriteBytes = 8_192;
+const maxFlushDelayMs = 1_000;
 
 function openStandardOutput(): DestinationStream {
 	return pino.destination({
 		dest: 1,
 		sync: false,
-		minLength: leastWriteBytes,
-		periodicFlush: longestHoldMs,
-		maxLength: mostWaitingBytes,
+		minLength: minWriteBytes,
+		periodicFlush: maxFlushDelayMs,
+		maxLength: maxBufferedBytes,
 	});
 }
 
-/** Makes the log of a process; `name` stands in each line, as `anvilroad-entry kingston-1`. */
+/** Creates the logger of a process; each line contains `name`, such as `anvilroad-entry kingston-1`. */
 export function createLogger(
 	name: string,
 	level: LogLevel,
@@ -46,7 +47,7 @@
 	return pino({ name, level, timestamp: pino.stdTimeFunctions.isoTime }, destination);
 }
 
-/** Writes decisions on requests as lines with one `decision` object. */
+/** Writes each decision on a request as a line with a `decision` object. */
 export class DecisionLogger implements IDecisionLog {
 	constructor(private readonly logger: Logger) {}
 
@@ -59,7 +60,7 @@
 	}
 }
 
-/** Writes each record of the trail as a line with one `audit` object, until disposed of. */
+/** Writes each record of the audit trail as a line with an `audit` object, until disposed. */
 export function writeAuditLines(logger: Logger, trail: IAuditTrail): IDisposable {
 	return subscribeTo(trail.onDidRecord, record => {
 		const { kind, subject, from, to, sign } = record;
--- a/src/core/telemetry/node/stateGauge.ts
+++ b/src/core/telemetry/node/stateGauge.ts
@@ -1,24 +1,24 @@
 /**
- * A gauge that counts things by their state. A state that nothing is in any more must lose its series:
- * left alone it would go on showing its last count, and an alert on failed targets would never end.
+ * A gauge that counts objects by state. When no object is in a state any more, the time series of that state is
+ * removed. Otherwise it would keep its last count, and an alert on failed targets would never resolve.
  */
 
 import type { Gauge } from 'prom-client';
 
-/** Sets counts by state for one owner at a time, such as one service. */
+/** Sets the counts by state of one owner at a time, such as a service. */
 export class StateGauge<TLabel extends string> {
 	private readonly statesByOwner = new Map<string, ReadonlySet<string>>();
 
 	/**
-	 * @param gauge Has the label `state` besides those of the owner.
-	 * @param createLabels The labels of an owner's count.
+	 * @param gauge A gauge with the label `state` and the labels that identify the owner.
+	 * @param createLabels Returns the labels for an owner and a state.
 	 */
 	constructor(
 		private readonly gauge: Gauge<TLabel>,
 		private readonly createLabels: (owner: string, state: string) => Record<TLabel, string>,
 	) {}
 
-	/** Replaces the counts of an owner; a state that is left out has none. */
+	/** Replaces the counts of an owner; states that are not in the map are removed. */
 	set(owner: string, countsByState: ReadonlyMap<string, number>): void {
 		for (const state of this.statesByOwner.get(owner) ?? []) {
 			if (!countsByState.has(state)) {
--- a/src/core/telemetry/test/entryMetrics.test.ts
+++ b/src/core/telemetry/test/entryMetrics.test.ts
@@ -13,7 +13,7 @@
 }
 
 describe('EntryMetrics', () => {
-	it('shows what was counted, with times in seconds', async () => {
+	it('renders recorded values, with times in seconds', async () => {
 		const metrics = createMetrics();
 		metrics.noteRequest('bookings', RequestClass.Urgent, Outcome.NotRun, ErrorKind.Overloaded);
 		metrics.noteFirstByte('bookings', RequestClass.Urgent, 600);
@@ -28,8 +28,8 @@
 		expect(page).toContain('anvilroad_info{version="1.2.3",instance="entry-1",region="r",zone="r-a"} 1');
 	});
 
-	// A process that samples its own loop a hundred times a second wakes as often while nothing is asked of it. Its
-	// operators pay for an instance that is never at rest.
+	// Guards against the library's default, which samples the event loop delay a hundred times a second and so keeps an
+	// idle process busy.
 	it('samples the event loop no more than twice a second', () => {
 		const monitor = jest.spyOn(perfHooks, 'monitorEventLoopDelay');
 		createMetrics();
@@ -39,9 +39,9 @@
 		expect(Math.min(...resolutions)).toBeGreaterThanOrEqual(500);
 	});
 
-	// A scanner walks through guessed service names. With a label for each, the entry's memory and the
-	// size of its metrics page grow until an operator's scrape times out.
-	it('puts all services that the manifest does not name under one label', async () => {
+	// A scanner tries many service names. With a label value for each, the memory of the entry and the metrics page
+	// would grow until a scrape times out.
+	it('uses one label value for all services that are not in the manifest', async () => {
 		const metrics = createMetrics();
 		for (let guess = 0; guess < 1_000; guess++) {
 			metrics.noteRequest(`guess-${guess}`, RequestClass.Normal, Outcome.NotRun, ErrorKind.UnknownService);
@@ -51,9 +51,9 @@
 		expect(page).not.toContain('guess-');
 	});
 
-	// The last failed target of a service comes back, or its service leaves the manifest. If its count
-	// stayed on the page, the alert on failed targets would ring until the entry is restarted.
-	it('drops the counts of states and services that are gone', async () => {
+	// When the last failed target of a service recovers, or the service is removed from the manifest, its count must
+	// disappear. Otherwise an alert on failed targets would fire until the entry is restarted.
+	it('removes the counts of states and services that no longer exist', async () => {
 		const metrics = createMetrics();
 		const gauges = { queued: 1, running: 2, waitMs: 1_500 };
 		metrics.setService('bookings', { ...gauges, targetsByState: new Map([['failed', 1]]) });
@@ -66,9 +66,9 @@
 		expect(await metrics.render()).not.toContain('service="bookings"');
 	});
 
-	// An entry without TLS has no certificate. If its expiry were shown as 0, the alert for certificates that
-	// expire soon would ring for every such entry from its start.
-	it('shows the expiry of a certificate only where there is one', async () => {
+	// An entry without TLS has no certificate. If the metric were 0, the alert for certificates that expire soon would
+	// fire for every such entry.
+	it('reports the certificate expiry only if there is a certificate', async () => {
 		const metrics = createMetrics();
 		const name = 'anvilroad_certificate_expiry_timestamp_seconds';
 		expect(await metrics.render()).not.toMatch(new RegExp(`^${name} `, 'm'));
@@ -76,7 +76,7 @@
 		expect(await metrics.render()).toMatch(new RegExp(`^${name} 2$`, 'm'));
 	});
 
-	it('registers each metric of the definitions and names them by the conventions', async () => {
+	it('registers each defined metric under a name that follows the conventions', async () => {
 		const names = listEntryMetrics().map(metric => metric.name);
 		const page = await createMetrics().render();
 		for (const name of names) {
--- a/src/core/telemetry/test/logger.test.ts
+++ b/src/core/telemetry/test/logger.test.ts
@@ -8,10 +8,10 @@
 }
 
 describe('writeAuditLines', () => {
-	it('writes each record as a line of its own with the record in it', () => {
+	it('writes one line with the record for each audit record', () => {
 		const lines: unknown[] = [];
 		const trail = new RingAuditTrail(4, () => new Date(0));
-		const writing = writeAuditLines(createLogger('entry-1', 'info', createDestination(lines)), trail);
+		const subscription = writeAuditLines(createLogger('entry-1', 'info', createDestination(lines)), trail);
 		const change = {
 			kind: AuditKind.Target,
 			subject: 'bookings-1',
@@ -21,7 +21,7 @@
 			manifestVersion: undefined,
 		};
 		trail.record(change);
-		writing.dispose();
+		subscription.dispose();
 		trail.record(change);
 		expect(lines).toHaveLength(1);
 		expect(lines[0]).toMatchObject({
--- a/src/core/tls/node/certificateStore.ts
+++ b/src/core/tls/node/certificateStore.ts
@@ -1,8 +1,8 @@
 /**
- * The certificates in use, and their renewal without a restart. At SIGHUP they are read again: connections
- * that are open keep what they were opened with, new ones get the new certificates. Certificates that cannot
- * be used leave those in use as they are, since a file that is half written when the signal comes would
- * otherwise close every port of the process to new connections.
+ * Holds the certificates in use and renews them without a restart. On SIGHUP the certificates are read again. Open
+ * connections keep their certificates, and new connections get the renewed ones. If the new certificates are
+ * invalid, the current ones stay in use: a file that is only partly written when the signal arrives would otherwise
+ * make every port of the process reject new connections.
  */
 
 import type { Result } from 'neverthrow';
@@ -13,23 +13,23 @@
 import type { IAuditTrail } from '../../audit/common/auditTrail';
 import { AuditKind } from '../../audit/common/auditTrail';
 import type { TlsSettings } from '../../settings/common/tlsSettings';
-import type { CertificateFault, Certificates } from '../common/certificates';
-import { formatCertificateFault } from '../common/certificates';
+import type { CertificateError, Certificates } from '../common/certificates';
+import { formatCertificateError } from '../common/certificates';
 import type { Environment } from './loadCertificates';
 import { loadCertificates } from './loadCertificates';
 
 const auditSubject = 'tls';
-const shownFingerprintCharacters = 23;
+const fingerprintPrefixCharacters = 23;
 
 function describeCertificates({ fingerprint, validTo }: Certificates): string {
-	return `${fingerprint.slice(0, shownFingerprintCharacters)} until ${validTo.toISOString()}`;
+	return `${fingerprint.slice(0, fingerprintPrefixCharacters)} until ${validTo.toISOString()}`;
 }
 
-/** Holds the certificates in use. */
+/** Holds the certificates in use and records each renewal in the audit trail. */
 export class CertificateStore extends Disposable {
 	private readonly channel = this.register(new Channel<Certificates>());
 
-	/** Certificates that have come into use since. */
+	/** Emits the certificates after each successful renewal. */
 	readonly onDidReload = this.channel.stream;
 
 	private constructor(
@@ -42,12 +42,12 @@
 		this.record('none', describeCertificates(current), 'start');
 	}
 
-	/** Reads the certificates for the first time; a process that is to use them cannot start without. */
+	/** Loads the initial certificates. A process that is configured to use TLS cannot start without them. */
 	static open(
 		settings: TlsSettings,
 		environment: Environment,
 		auditTrail: IAuditTrail,
-	): Result<CertificateStore, CertificateFault> {
+	): Result<CertificateStore, CertificateError> {
 		return loadCertificates(settings, environment).map(
 			certificates => new CertificateStore(certificates, settings, environment, auditTrail),
 		);
@@ -57,12 +57,16 @@
 		return this.current;
 	}
 
-	/** Reads them again; on a fault those in use stay. */
-	renew(sign: string): Result<Certificates, CertificateFault> {
+	/**
+	 * Loads the certificates again; if that fails, the current ones stay in use.
+	 *
+	 * @param sign What caused the renewal, for the audit trail.
+	 */
+	renew(sign: string): Result<Certificates, CertificateError> {
 		const before = describeCertificates(this.current);
 		const loaded = loadCertificates(this.settings, this.environment);
 		if (loaded.isErr()) {
-			this.record(before, before, `${sign} refused: ${formatCertificateFault(loaded.error)}`);
+			this.record(before, before, `${sign} refused: ${formatCertificateError(loaded.error)}`);
 			return loaded;
 		}
 		this.current = loaded.value;
@@ -84,8 +88,8 @@
 }
 
 /**
- * Renews at SIGHUP until disposed of. Without a store the signal is taken and ignored: its default would end
- * the process, and an operator who renews certificates everywhere must not stop the entries that have none.
+ * Renews the certificates on SIGHUP until disposed. Without a store the signal is ignored: its default action would
+ * end the process, and renewing the certificates of a whole fleet must not stop entries that have none.
  */
 export function watchHangup(store: CertificateStore | undefined): IDisposable {
 	const renew = (): void => {
--- a/src/core/tls/node/loadCertificates.ts
+++ b/src/core/tls/node/loadCertificates.ts
@@ -1,7 +1,6 @@
 /**
- * Reads certificates from where the settings say, and checks that they can be used together before anything
- * relies on them. A key that does not belong to its certificate is otherwise found only by the first
- * connection that fails.
+ * Loads certificates from the sources in the settings and validates that they belong together before they are
+ * used. Otherwise, a key that does not match its certificate would only be noticed when a connection fails.
  */
 
 import { createPrivateKey, X509Certificate } from 'node:crypto';
@@ -10,16 +9,16 @@
 import { err, ok } from 'neverthrow';
 import type { TlsSettings } from '../../settings/common/tlsSettings';
 import { environmentPrefix } from '../../settings/common/tlsSettings';
-import type { CertificateFault, Certificates } from '../common/certificates';
+import type { CertificateError, Certificates } from '../common/certificates';
 
-/** The environment's variables. */
+/** The environment variables of the process. */
 export type Environment = Readonly<Record<string, string | undefined>>;
 
-/** Gives certificates that fit together, or the first fault. */
+/** Returns certificates that belong together, or the first error. */
 export function loadCertificates(
 	settings: TlsSettings,
 	environment: Environment,
-): Result<Certificates, CertificateFault> {
+): Result<Certificates, CertificateError> {
 	return readPem(settings.certificate, environment).andThen(certificate =>
 		readPem(settings.private_key, environment).andThen(privateKey =>
 			readPem(settings.authorities, environment).andThen(authorities =>
@@ -29,7 +28,7 @@
 	);
 }
 
-function readPem(source: string, environment: Environment): Result<string, CertificateFault> {
+function readPem(source: string, environment: Environment): Result<string, CertificateError> {
 	if (source.startsWith(environmentPrefix)) {
 		const text = environment[source.slice(environmentPrefix.length)];
 		return text === undefined ? err({ source, problem: 'the variable is not set' }) : ok(text);
@@ -42,7 +41,7 @@
 	certificate: string,
 	privateKey: string,
 	authorities: string,
-): Result<Certificates, CertificateFault> {
+): Result<Certificates, CertificateError> {
 	const parsed = runSafely(settings.certificate, () => new X509Certificate(certificate));
 	if (parsed.isErr()) {
 		return err(parsed.error);
@@ -64,7 +63,7 @@
 	}));
 }
 
-function runSafely<TValue>(source: string, run: () => TValue): Result<TValue, CertificateFault> {
+function runSafely<TValue>(source: string, run: () => TValue): Result<TValue, CertificateError> {
 	try {
 		return ok(run());
 	} catch (error) {
--- a/src/core/tls/node/secureOptions.ts
+++ b/src/core/tls/node/secureOptions.ts
@@ -1,6 +1,6 @@
 /**
- * What Node's servers and clients are given so that they use the certificates in use. Entries check each
- * other's certificates; operators' tools check the entry's, and show none.
+ * Creates the TLS options of Node servers and clients. Entries authenticate each other by certificates (mutual
+ * TLS). Operators' tools verify the certificate of an entry and present none.
  */
 
 import type { SecureClientSessionOptions } from 'node:http2';
@@ -12,38 +12,38 @@
 import type { CertificateStore } from './certificateStore';
 
 const minVersion = 'TLSv1.3';
-const defaultPort = 443;
+const defaultHttpsPort = 443;
 
-/** What of the options can be exchanged while a server runs. */
-export function createContextOptions(certificates: Certificates): SecureContextOptions {
+/** The options that can be replaced while a server is running. */
+export function createSecureContextOptions(certificates: Certificates): SecureContextOptions {
 	const { certificate: cert, privateKey: key, authorities: ca } = certificates;
 	return { cert, key, ca, minVersion };
 }
 
-/** For a server that only entries may reach: who shows no certificate of the authorities is cut off. */
+/** Options of a server for entries only: clients need a certificate of a trusted authority. */
 export function createPeerServerOptions(certificates: Certificates): TlsOptions {
-	return { ...createContextOptions(certificates), requestCert: true, rejectUnauthorized: true };
+	return { ...createSecureContextOptions(certificates), requestCert: true, rejectUnauthorized: true };
 }
 
-/** For a server that shows its certificate and asks for none. */
+/** Options of a server that does not request client certificates. */
 export function createServerOptions(certificates: Certificates): TlsOptions {
-	return { ...createContextOptions(certificates), requestCert: false };
+	return { ...createSecureContextOptions(certificates), requestCert: false };
 }
 
-/** Gives a server each renewed certificate; connections that are open are not touched. */
-export function followCertificates(server: Server, store: CertificateStore): IDisposable {
+/** Updates a server on each certificate renewal; open connections are not affected. */
+export function subscribeToRenewals(server: Server, store: CertificateStore): IDisposable {
 	return subscribeTo(store.onDidReload, certificates => {
-		server.setSecureContext(createContextOptions(certificates));
+		server.setSecureContext(createSecureContextOptions(certificates));
 	});
 }
 
 /**
- * For HTTP/2 sessions to another entry. The certificates are taken when a connection is opened, so a session
- * that is opened again uses the renewed ones. The other end's certificate must be for the host that it
- * advertises, which may be reached by another address, as through an address translation; without that
- * check any entry could answer in place of any other.
+ * Options of HTTP/2 sessions to another entry. The certificates are read when a connection is opened, so that a
+ * reopened session uses renewed certificates. The certificate of the peer must be valid for the host in its
+ * advertised URL, which can differ from the address that is connected to, for example behind network address
+ * translation. Without that check, any entry could impersonate any other.
  *
- * @param advertisedUrl The peer's own URL, `https://10.0.0.2:7101`.
+ * @param advertisedUrl The URL that the peer advertises, such as `https://10.0.0.2:7101`.
  */
 export function createPeerSessionOptions(
 	store: CertificateStore,
@@ -53,9 +53,9 @@
 	return {
 		createConnection: authority => {
 			return connect({
-				...createContextOptions(store.getCurrent()),
+				...createSecureContextOptions(store.getCurrent()),
 				host: getHost(authority),
-				port: authority.port === '' ? defaultPort : Number(authority.port),
+				port: authority.port === '' ? defaultHttpsPort : Number(authority.port),
 				ALPNProtocols: ['h2'],
 				checkServerIdentity: (_, certificate) => checkServerIdentity(advertisedHost, certificate),
 			});
@@ -63,7 +63,7 @@
 	};
 }
 
-/** A URL's host without the brackets of an IPv6 address. */
+/** Returns the host of a URL without the brackets of an IPv6 address. */
 function getHost({ hostname }: URL): string {
 	return hostname.replace(/^\[|\]$/g, '');
 }
--- a/src/core/tls/test/certificateStore.test.ts
+++ b/src/core/tls/test/certificateStore.test.ts
@@ -19,41 +19,41 @@
 }
 
 describe('loadCertificates', () => {
-	it('reads texts from the environment as from files', () => {
+	it('reads PEM texts from environment variables and from files', () => {
 		const { settings } = createFolder();
 		const environment = { ENTRY_KEY: readFileSync(settings.private_key, 'utf8') };
-		const fromBoth = loadCertificates({ ...settings, private_key: 'env:ENTRY_KEY' }, environment);
-		expect(fromBoth).toEqual(loadCertificates(settings, {}));
-		expect(fromBoth.isOk()).toBe(true);
+		const mixed = loadCertificates({ ...settings, private_key: 'env:ENTRY_KEY' }, environment);
+		expect(mixed).toEqual(loadCertificates(settings, {}));
+		expect(mixed.isOk()).toBe(true);
 	});
 
-	it('names the source of what cannot be used, and shows nothing of a key', () => {
+	it('reports the source of each invalid text, without any part of a key', () => {
 		const { settings } = createFolder();
-		const faults = [
+		const errors = [
 			loadCertificates({ ...settings, private_key: 'env:NO_KEY' }, {}),
 			loadCertificates({ ...settings, private_key: findFixture('second.key') }, {}),
 			loadCertificates({ ...settings, certificate: settings.private_key }, {}),
 			loadCertificates({ ...settings, authorities: findFixture('none.crt') }, {}),
 		].map(result => result._unsafeUnwrapErr());
-		expect(faults.map(fault => fault.source)).toEqual([
+		expect(errors.map(error => error.source)).toEqual([
 			'env:NO_KEY',
 			findFixture('second.key'),
 			settings.private_key,
 			findFixture('none.crt'),
 		]);
-		expect(faults[1]?.problem).toBe(`is not the key of ${settings.certificate}`);
-		expect(JSON.stringify(faults)).not.toContain('MIGH');
+		expect(errors[1]?.problem).toBe(`is not the key of ${settings.certificate}`);
+		expect(JSON.stringify(errors)).not.toContain('MIGH');
 	});
 });
 
 describe('CertificateStore', () => {
-	it('does not open without usable certificates', () => {
+	it('fails to open if the certificates are invalid', () => {
 		const folder = createFolder();
 		folder.putKey(FixtureName.Second);
 		expect(CertificateStore.open(folder.settings, {}, createTrail()).isErr()).toBe(true);
 	});
 
-	it('takes renewed certificates at SIGHUP and records the change', () => {
+	it('loads renewed certificates on SIGHUP and records the change', () => {
 		const folder = createFolder();
 		const trail = createTrail();
 		const store = owned.add(openStore(folder, trail));
@@ -67,9 +67,9 @@
 		expect(trail.list().at(-1)?.from).toContain(first.slice(0, 20));
 	});
 
-	// The signal comes while the operator's tool has written the new certificate and not yet its key. If
-	// the pair were taken, every new connection to the entry would fail until the next signal.
-	it('keeps the certificates in use when the new ones do not fit together', () => {
+	// SIGHUP can arrive after the new certificate was written, but before its key. If that pair were used, every new
+	// connection to the entry would fail until the next signal.
+	it('keeps the current certificates when the new certificate and key do not match', () => {
 		const folder = createFolder();
 		const trail = createTrail();
 		const store = owned.add(openStore(folder, trail));
--- a/src/core/tls/test/secureOptions.test.ts
+++ b/src/core/tls/test/secureOptions.test.ts
@@ -15,7 +15,11 @@
 import { createMetricsPage, createSource } from '../../operators/test/operatorsFixtures';
 import { OperatorsServer } from '../../operators/node/operatorsServer';
 import type { CertificateStore } from '../node/certificateStore';
-import { createPeerServerOptions, createPeerSessionOptions, followCertificates } from '../node/secureOptions';
+import {
+	createPeerServerOptions,
+	createPeerSessionOptions,
+	subscribeToRenewals,
+} from '../node/secureOptions';
 import { CertificateFolder, findFixture, FixtureName, openStore } from './tlsFixtures';
 
 let owned = new DisposableStore();
@@ -32,7 +36,7 @@
 	return owned.add(new CertificateFolder(name));
 }
 
-/** A peer server that gives version 12 of a manifest; gives its URL and tells of each session. */
+/** Starts a peer server that returns version 12 of a manifest, and returns the URL of the server. */
 async function startPeer(
 	store: CertificateStore,
 	noteSession: () => void = () => undefined,
@@ -46,7 +50,7 @@
 	});
 	const server = createSecureServer(createPeerServerOptions(store.getCurrent()), handler);
 	server.on('session', noteSession);
-	owned.add(followCertificates(server, store));
+	owned.add(subscribeToRenewals(server, store));
 	server.listen(0, '127.0.0.1');
 	await once(server, 'listening');
 	owned.add(toDisposable(() => server.close()));
@@ -72,8 +76,8 @@
 	return createPeerClient(url, openSession(url, createPeerSessionOptions(store, advertisedUrl)));
 }
 
-/** Opens a connection that speaks no protocol and gives the certificate that it is shown. */
-async function readShownCertificate(url: string, store: CertificateStore): Promise<string> {
+/** Opens a bare TLS connection and returns the SHA-256 fingerprint of the server certificate. */
+async function readServerFingerprint(url: string, store: CertificateStore): Promise<string> {
 	const { certificate: cert, privateKey: key, authorities: ca } = store.getCurrent();
 	const { hostname: host, port } = new URL(url);
 	const socket: TLSSocket = connect({ host, port: Number(port), cert, key, ca });
@@ -84,15 +88,15 @@
 }
 
 describe('connections between entries', () => {
-	it('are served when both ends show certificates of the authority', async () => {
+	it('are accepted when both sides have a certificate of the trusted authority', async () => {
 		const store = openStore(createFolder(FixtureName.First));
 		const client = openClient(store, await startPeer(store));
 		expect((await client.fetchManifest({})).version).toBe(12n);
 	});
 
-	// Somebody who can reach the peers' port speaks the protocol, with a certificate of another authority.
-	// Served, it could hand in forged views and requests of any organisation.
-	it('are refused to a certificate of another authority, at either end', async () => {
+	// A client with a certificate of another authority must not reach the peer protocol, where it could submit forged
+	// views of the fleet and requests for any organisation.
+	it('are refused when either side has a certificate of another authority', async () => {
 		const own = openStore(createFolder(FixtureName.First));
 		const stranger = openStore(createFolder(FixtureName.Stranger));
 		await expect(openClient(stranger, await startPeer(own)).fetchManifest({})).rejects.toThrow();
@@ -101,24 +105,24 @@
 
 	it('are refused without a certificate and without TLS', async () => {
 		const url = await startPeer(openStore(createFolder(FixtureName.First)));
-		const bare = openSession(url, { ca: readFileSync(findFixture('authority.crt')) });
-		await expect(createPeerClient(url, bare).fetchManifest({})).rejects.toThrow();
+		const withoutCertificate = openSession(url, { ca: readFileSync(findFixture('authority.crt')) });
+		await expect(createPeerClient(url, withoutCertificate).fetchManifest({})).rejects.toThrow();
 		const plainUrl = url.replace('https:', 'http:');
 		const plain = createPeerClient(plainUrl, openSession(plainUrl, {}));
 		await expect(plain.fetchManifest({})).rejects.toThrow();
 	});
 
-	// A wrong route leads to another entry of the fleet, whose certificate is good in itself. Taken for the
-	// peer that was meant, it would be sent tickets that it cannot know and answer for a region it is not in.
+	// A wrong route can lead to another entry of the fleet, whose certificate is valid. If it were mistaken for the
+	// intended peer, it would receive tickets that it did not issue and answer for a region that it does not belong to.
 	it('are refused when the certificate is not for the host that the peer advertises', async () => {
 		const store = openStore(createFolder(FixtureName.First));
 		const client = openClient(store, await startPeer(store), 'https://127.0.0.2:7101');
 		await expect(client.fetchManifest({})).rejects.toThrow(/127\.0\.0\.2/);
 	});
 
-	// Certificates are renewed on every instance while requests run. A session that was opened before must
-	// go on, or each renewal would cut forwarded requests; a new one must be shown the new certificate.
-	it('stay open across a renewal, and new ones use the renewed certificate', async () => {
+	// Certificates are renewed while requests are running. If open sessions were closed, each renewal would interrupt
+	// forwarded requests. New connections must get the renewed certificate.
+	it('stay open during a renewal, and new connections use the renewed certificate', async () => {
 		const folder = createFolder(FixtureName.First);
 		const store = openStore(folder);
 		let sessions = 0;
@@ -131,27 +135,27 @@
 		folder.putKey(FixtureName.Second);
 		const renewed = store.renew('SIGHUP')._unsafeUnwrap().fingerprint;
 		expect(renewed).not.toBe(before);
-		expect(await readShownCertificate(url, store)).toBe(renewed);
+		expect(await readServerFingerprint(url, store)).toBe(renewed);
 		expect((await createPeerClient(url, session).fetchManifest({})).version).toBe(12n);
 		expect(sessions).toBe(1);
 	});
 });
 
-describe('the operators port with certificates', () => {
-	it('is read by whoever trusts the authority, and shows renewed certificates', async () => {
+describe('the operators port with TLS', () => {
+	it('serves clients that trust the authority, and uses renewed certificates', async () => {
 		const folder = createFolder(FixtureName.First);
 		const store = openStore(folder);
 		const server = owned.add(new OperatorsServer(createSource(), createMetricsPage(), store));
 		const { host, port } = await server.start({ host: '127.0.0.1', port: 0 });
 		const url = `https://${host}:${port}`;
-		const trusting = new Agent({ connect: { ca: readFileSync(findFixture('authority.crt')) } });
-		const { statusCode, body } = await request(`${url}/healthz`, { dispatcher: trusting });
+		const trustingAgent = new Agent({ connect: { ca: readFileSync(findFixture('authority.crt')) } });
+		const { statusCode, body } = await request(`${url}/healthz`, { dispatcher: trustingAgent });
 		expect([statusCode, await body.text()]).toEqual([200, 'ok\n']);
-		await trusting.close();
+		await trustingAgent.close();
 		await expect(request(`${url}/healthz`)).rejects.toThrow();
 		folder.putCertificate(FixtureName.Second);
 		folder.putKey(FixtureName.Second);
 		const renewed = store.renew('SIGHUP')._unsafeUnwrap().fingerprint;
-		expect(await readShownCertificate(url, store)).toBe(renewed);
+		expect(await readServerFingerprint(url, store)).toBe(renewed);
 	});
 });
--- a/src/core/tls/test/tlsFixtures.ts
+++ b/src/core/tls/test/tlsFixtures.ts
@@ -1,5 +1,5 @@
 /**
- * Makes certificate folders and stores for tests.
+ * Creates certificate folders and certificate stores for tests.
  */
 
 import { copyFileSync, mkdtempSync, rmSync } from 'node:fs';
@@ -11,12 +11,12 @@
 import type { TlsSettings } from '../../settings/common/tlsSettings';
 import { CertificateStore } from '../node/certificateStore';
 
-/** The certificates in `fixtures`; its README tells how they were made. */
+/** The certificates in `fixtures`; its README describes how they were created. */
 export enum FixtureName {
 	First = 'first',
-	/** What `first` is renewed to. */
+	/** The renewal of `first`. */
 	Second = 'second',
-	/** Signed by another authority. */
+	/** Signed by another certificate authority. */
 	Stranger = 'stranger',
 }
 
@@ -24,7 +24,7 @@
 	return join(__dirname, 'fixtures', file);
 }
 
-/** A folder whose certificate can be exchanged, as an operator's tool does it. */
+/** A temporary folder whose certificate and key can be replaced, as a renewal tool does. */
 export class CertificateFolder implements IDisposable {
 	private readonly folder = mkdtempSync(join(tmpdir(), 'anvilroad-tls-'));
 	private readonly removal = toDisposable(() => {
--- a/src/ctl/node/checkSettingsCommand.ts
+++ b/src/ctl/node/checkSettingsCommand.ts
@@ -4,7 +4,7 @@
 
 import type { z } from 'zod';
 import { entrySettingsSchema } from '../../core/settings/common/entrySettings';
-import { formatSettingsFault, parseSettings } from '../../core/settings/common/settings';
+import { formatSettingsError, parseSettings } from '../../core/settings/common/settings';
 import { ExitCode } from '../common/exitCode';
 import type { ICommand, ICommandOutput } from './command';
 import { writeAnswer } from './command';
@@ -45,7 +45,7 @@
 		}
 		const faults = parseSettings(schemas[program], text.value).match(
 			() => [],
-			found => found.map(formatSettingsFault),
+			found => found.map(formatSettingsError),
 		);
 		writeAnswer(this.output, isJson, { file, program, isRight: faults.length === 0, faults }, () =>
 			faults.length === 0
--- a/src/ctl/node/operatorsClient.ts
+++ b/src/ctl/node/operatorsClient.ts
@@ -14,9 +14,9 @@
 import type { ExplainAnswer, ManifestAnswer, TrailAnswer } from '../../core/status/common/operatorsAnswers';
 import {
 	explainAnswerSchema,
-	faultAnswerSchema,
+	operatorsErrorAnswerSchema,
 	manifestAnswerSchema,
-	OperatorsFault,
+	OperatorsErrorCode,
 	trailAnswerSchema,
 } from '../../core/status/common/operatorsAnswers';
 
@@ -46,7 +46,10 @@
 /** Above a manifest of a megabyte and the longest trail. */
 const mostAnswerBytes = 16 * 1_048_576;
 
-const absentFaults: readonly OperatorsFault[] = [OperatorsFault.RequestNotKept, OperatorsFault.NoManifest];
+const absentFaults: readonly OperatorsErrorCode[] = [
+	OperatorsErrorCode.RequestNotKept,
+	OperatorsErrorCode.NoManifest,
+];
 
 interface RawAnswer {
 	readonly status: number;
@@ -107,7 +110,7 @@
 			return err(fetched.error);
 		}
 		const { status, body } = fetched.value;
-		const fault = faultAnswerSchema.safeParse(body);
+		const fault = operatorsErrorAnswerSchema.safeParse(body);
 		if (fault.success) {
 			const isAbsent = absentFaults.includes(fault.data.error);
 			return err(
--- a/src/entry/node/entryCertificates.ts
+++ b/src/entry/node/entryCertificates.ts
@@ -7,9 +7,9 @@
 import { Disposable } from '../../base/common/lifecycle';
 import type { IAuditTrail } from '../../core/audit/common/auditTrail';
 import type { EntrySettings } from '../../core/settings/common/entrySettings';
-import { isSecured } from '../../core/settings/common/transportRules';
+import { isTlsEnabled } from '../../core/settings/common/transportSecurity';
 import type { EntryMetrics } from '../../core/telemetry/node/entryMetrics';
-import { formatCertificateFault } from '../../core/tls/common/certificates';
+import { formatCertificateError } from '../../core/tls/common/certificates';
 import { CertificateStore, watchHangup } from '../../core/tls/node/certificateStore';
 
 /** Certificates by port; undefined where a port is plain. */
@@ -21,8 +21,8 @@
 	constructor(settings: EntrySettings, trail: IAuditTrail, metrics: EntryMetrics) {
 		super();
 		const store = this.openStore(settings, trail);
-		this.peers = isSecured(settings, 'peers') ? store : undefined;
-		this.operators = isSecured(settings, 'operators') ? store : undefined;
+		this.peers = isTlsEnabled(settings, 'peers') ? store : undefined;
+		this.operators = isTlsEnabled(settings, 'operators') ? store : undefined;
 		this.register(watchHangup(store));
 		if (store !== undefined) {
 			metrics.setCertificateExpiry(store.getCurrent().validTo);
@@ -40,7 +40,7 @@
 		}
 		const opened = CertificateStore.open(settings.tls, process.env, trail);
 		if (opened.isErr()) {
-			throw new Error(formatCertificateFault(opened.error));
+			throw new Error(formatCertificateError(opened.error));
 		}
 		return this.register(opened.value);
 	}
--- a/src/entry/node/peers/peerServer.ts
+++ b/src/entry/node/peers/peerServer.ts
@@ -26,7 +26,7 @@
 import { findRequestClass } from '../../../core/requests/common/requestClass';
 import type { ListenAddress } from '../../../core/settings/common/settingsTypes';
 import type { CertificateStore } from '../../../core/tls/node/certificateStore';
-import { createPeerServerOptions, followCertificates } from '../../../core/tls/node/secureOptions';
+import { createPeerServerOptions, subscribeToRenewals } from '../../../core/tls/node/secureOptions';
 import type {
 	EntryView,
 	FetchManifestResponse,
@@ -125,7 +125,7 @@
 			{ ...createPeerServerOptions(certificates.getCurrent()), settings: windowSettings },
 			handler,
 		);
-		this.register(followCertificates(server, certificates));
+		this.register(subscribeToRenewals(server, certificates));
 		return server;
 	}
 
--- a/src/entry/node/requests/activeRuns.ts
+++ b/src/entry/node/requests/activeRuns.ts
@@ -10,7 +10,7 @@
 import { JournalStep } from '../../../core/explain/common/requestJournal';
 import type { RequestId } from '../../../core/ids/common/ids';
 import { RequestClass } from '../../../core/requests/common/requestClass';
-import { otherService } from '../../../core/telemetry/common/entryMetricLabels';
+import { otherServiceLabel } from '../../../core/telemetry/common/entryMetricLabels';
 import type { EntryMetrics } from '../../../core/telemetry/node/entryMetrics';
 import type { IAnswerSink } from '../../common/callers/answerSink';
 import type { CallHead } from '../../common/callers/callHead';
@@ -51,7 +51,7 @@
 		const { service, organisation, requestClass } = call.head;
 		this.journal.open(call.id, { service, organisation, requestClass }, call.arrivedMs);
 		const line = `${call.head.method} ${call.head.path}`;
-		this.journal.note(call.id, JournalStep.Received, line, call.arrivedMs);
+		this.journal.addStep(call.id, JournalStep.Received, line, call.arrivedMs);
 		const run = new RequestRun(call, new RequestLife(), sink, this.journal, this.timers, this);
 		this.runs.add(run);
 		this.ids.add(call.id);
@@ -69,11 +69,11 @@
 			requestClass: head?.requestClass ?? untold,
 		};
 		this.journal.open(id, about, arrivedMs);
-		this.journal.note(id, JournalStep.Received, line, arrivedMs);
-		this.journal.note(id, JournalStep.Refused, error.detail, nowMs);
-		this.journal.note(id, JournalStep.Ended, `${outcome}; ${error.kind}: ${error.detail}`, nowMs);
+		this.journal.addStep(id, JournalStep.Received, line, arrivedMs);
+		this.journal.addStep(id, JournalStep.Refused, error.detail, nowMs);
+		this.journal.addStep(id, JournalStep.Ended, `${outcome}; ${error.kind}: ${error.detail}`, nowMs);
 		const requestClass = head?.requestClass ?? RequestClass.Normal;
-		this.metrics.noteRequest(head?.service ?? otherService, requestClass, outcome, error.kind);
+		this.metrics.noteRequest(head?.service ?? otherServiceLabel, requestClass, outcome, error.kind);
 	}
 
 	/** Whether a request of that id is under way. */
--- a/src/entry/node/requests/requestRun.ts
+++ b/src/entry/node/requests/requestRun.ts
@@ -93,7 +93,7 @@
 	}
 
 	note(step: JournalStep, detail: string): void {
-		this.journal.note(this.call.id, step, detail, this.timers.getNow());
+		this.journal.addStep(this.call.id, step, detail, this.timers.getNow());
 	}
 
 	/** The request waits for an attempt, its first or another one. */
--- a/src/load/node/loadCommand.ts
+++ b/src/load/node/loadCommand.ts
@@ -6,7 +6,7 @@
 import type { Argv } from 'yargs';
 import { SeededRandom } from '../../base/common/random';
 import { SystemTimerService } from '../../base/node/systemTimerService';
-import { listenAddress } from '../../core/settings/common/settingsTypes';
+import { listenAddressSchema } from '../../core/settings/common/settingsTypes';
 import { exitCodeBadUsage } from '../../core/settings/node/loadSettings';
 import type { Round } from '../common/comparison';
 import { createReport, renderReport, Way } from '../common/comparison';
@@ -136,7 +136,7 @@
 }
 
 async function servePassThrough(args: PassThroughArguments): Promise<void> {
-	const listen = listenAddress.safeParse(args.listen);
+	const listen = listenAddressSchema.safeParse(args.listen);
 	const target = loopbackUrl.safeParse(args.to);
 	if (!listen.success || !target.success) {
 		const issues = [...(listen.error?.issues ?? []), ...(target.error?.issues ?? [])];
--- a/src/standin/common/standinSettings.ts
+++ b/src/standin/common/standinSettings.ts
@@ -4,10 +4,10 @@
 
 import { z } from 'zod';
 import {
-	createWholeNumber,
-	listenAddress,
-	originUrl,
-	yesOrNo,
+	createIntegerSchema,
+	listenAddressSchema,
+	originUrlSchema,
+	yesOrNoSchema,
 } from '../../core/settings/common/settingsTypes';
 
 const mostBytesPerSecond = 10_000_000_000;
@@ -24,20 +24,20 @@
 	.transform(Number);
 
 const platformSection = z.strictObject({
-	listen: listenAddress,
+	listen: listenAddressSchema,
 	/** Reads of configuration, instance list and directory that are answered in one second. */
-	reads_per_second: createWholeNumber(1, 1_000_000).default(2_000),
+	reads_per_second: createIntegerSchema(1, 1_000_000).default(2_000),
 	/** Output of the weight store, shared by all loads. */
-	weights_bytes_per_second: createWholeNumber(1, mostBytesPerSecond).default(50_000_000),
-	instances_lag_ms: createWholeNumber(0, mostMs).default(1_000),
+	weights_bytes_per_second: createIntegerSchema(1, mostBytesPerSecond).default(50_000_000),
+	instances_lag_ms: createIntegerSchema(0, mostMs).default(1_000),
 });
 
 const engineSection = z.strictObject({
-	listen: listenAddress,
+	listen: listenAddressSchema,
 	/** Requests that run together. */
-	slots: createWholeNumber(1, 1_024).default(8),
+	slots: createIntegerSchema(1, 1_024).default(8),
 	/** Requests that may wait for a slot; more are refused unrun. */
-	max_waiting: createWholeNumber(0, 100_000).default(1_000),
+	max_waiting: createIntegerSchema(0, 100_000).default(1_000),
 	/** Time between two tokens of a request that runs alone. */
 	token_ms: decimal.default(10),
 	/** What each further running request adds to that time. */
@@ -45,30 +45,30 @@
 	/** Time to read a thousand prompt tokens that the prefix cache does not hold. */
 	prefill_ms_per_1000_tokens: decimal.default(100),
 	/** Prompt tokens that the prefix cache holds. */
-	cache_tokens: createWholeNumber(0, 1_000_000_000).default(100_000),
+	cache_tokens: createIntegerSchema(0, 1_000_000_000).default(100_000),
 	/** Whether an order with an older fencing number is refused. */
-	fencing: yesOrNo.default(true),
+	fencing: yesOrNoSchema.default(true),
 	/** What the engine serves when it starts. */
 	model: z.string().min(1, 'the name of a model').optional(),
 	version: z.string().min(1, 'the version of the model').optional(),
 	/** Where weights are loaded from; without it a load takes `load_ms` alone. */
-	weights_url: originUrl.optional(),
+	weights_url: originUrlSchema.optional(),
 	/** Bytes of weights that a change of model or version loads. */
-	load_bytes: createWholeNumber(1, 100_000_000_000).default(1_000_000),
+	load_bytes: createIntegerSchema(1, 100_000_000_000).default(1_000_000),
 	/** Time of a load beyond its transfer. */
-	load_ms: createWholeNumber(0, mostMs).default(100),
+	load_ms: createIntegerSchema(0, mostMs).default(100),
 });
 
 const plainSection = z.strictObject({
-	listen: listenAddress,
+	listen: listenAddressSchema,
 	/** Calls that run together; more wait in the order of their arrival. */
-	slots: createWholeNumber(1, 10_000).default(8),
-	work_ms: createWholeNumber(0, mostMs).default(5),
+	slots: createIntegerSchema(1, 10_000).default(8),
+	work_ms: createIntegerSchema(0, mostMs).default(5),
 });
 
 const linkSection = z.strictObject({
-	listen: listenAddress,
-	to: listenAddress,
+	listen: listenAddressSchema,
+	to: listenAddressSchema,
 	one_way_ms: decimal.default(0),
 	/** Bandwidth of each direction, shared by all connections. */
 	megabits_per_second: decimal.refine(value => value > 0, 'a number above 0').default(100),
@@ -83,7 +83,7 @@
 export const platformName = 'platform';
 
 const sectionsSchema = z.strictObject({
-	admin: z.strictObject({ listen: listenAddress }),
+	admin: z.strictObject({ listen: listenAddressSchema }),
 	platform: platformSection.optional(),
 	engine: z.record(standinName, engineSection).default({}),
 	plain: z.record(standinName, plainSection).default({}),
