--- a/src/bin/entry.ts
+++ b/src/bin/entry.ts
@@ -6,11 +6,11 @@
 import { PlatformEnvironment } from '../../platform/node/platformEnvironment';
 import { Entry } from '../entry/node/entry';
 import type { IEntryEnvironment } from '../entry/node/environment/entryEnvironment';
-import { OwnEnvironment } from '../entry/node/environment/ownEnvironment';
+import { NativeEnvironment } from '../entry/node/environment/nativeEnvironment';
 import type { EntrySettings } from '../core/settings/common/entrySettings';
 import { entrySettingsSchema, isStoreEntry } from '../core/settings/common/entrySettings';
 import { loadSettingsOrExit } from '../core/settings/node/loadSettings';
-import { watchSettings } from '../core/settings/node/settingsReload';
+import { watchReloadSignal } from '../core/settings/node/settingsReload';
 import { createLogger } from '../core/telemetry/node/logger';
 import { version } from '../../package.json';
 import { parseSettingsOption } from './commandLine';
@@ -18,7 +18,7 @@
 const description = 'Takes requests in, admits and routes them, and answers each once inside its region.';
 
 function createEnvironment(settings: EntrySettings): IEntryEnvironment {
-	return isStoreEntry(settings) ? new PlatformEnvironment(settings) : new OwnEnvironment(settings);
+	return isStoreEntry(settings) ? new PlatformEnvironment(settings) : new NativeEnvironment(settings);
 }
 
 async function runEntry(): Promise<void> {
@@ -26,7 +26,7 @@
 	const settings = loadSettingsOrExit(entrySettingsSchema, file);
 	const logger = createLogger(`anvilroad-entry ${settings.instance.id}`, settings.log.level);
 	const entry = new Entry(settings, createEnvironment(settings), logger, version);
-	watchSettings(file, entrySettingsSchema, settings, logger);
+	watchReloadSignal(file, entrySettingsSchema, settings, logger);
 	const leave = (signal: NodeJS.Signals): void => {
 		// Connections to peers and callers that are gone without a word would keep the process for minutes.
 		void entry.stop(signal).then(() => process.exit(0));
--- a/src/entry/node/entryCertificates.ts
+++ b/src/entry/node/entryCertificates.ts
@@ -1,5 +1,5 @@
 /**
- * The certificates of an entry's ports, as its settings say: which port uses them, and their renewal at
+ * Loads the TLS certificates of an entry's ports, decides by the settings which ports use them, and reloads them on
  * SIGHUP.
  */
 
@@ -7,22 +7,22 @@
 import { Disposable } from '../../base/common/lifecycle';
 import type { IAuditTrail } from '../../core/audit/common/auditTrail';
 import type { EntrySettings } from '../../core/settings/common/entrySettings';
-import { isSecured } from '../../core/settings/common/transportRules';
+import { isTlsEnabled } from '../../core/settings/common/transportSecurity';
 import type { EntryMetrics } from '../../core/telemetry/node/entryMetrics';
-import { formatCertificateFault } from '../../core/tls/common/certificates';
+import { formatCertificateError } from '../../core/tls/common/certificates';
 import { CertificateStore, watchHangup } from '../../core/tls/node/certificateStore';
 
-/** Certificates by port; undefined where a port is plain. */
+/** Certificates by port; undefined where a port uses plain HTTP. */
 export class EntryCertificates extends Disposable {
 	readonly peers: CertificateStore | undefined;
 	readonly operators: CertificateStore | undefined;
 
-	/** Throws where the settings name certificates that cannot be used. */
+	/** Throws if the settings name certificates that cannot be used. */
 	constructor(settings: EntrySettings, trail: IAuditTrail, metrics: EntryMetrics) {
 		super();
 		const store = this.openStore(settings, trail);
-		this.peers = isSecured(settings, 'peers') ? store : undefined;
-		this.operators = isSecured(settings, 'operators') ? store : undefined;
+		this.peers = isTlsEnabled(settings, 'peers') ? store : undefined;
+		this.operators = isTlsEnabled(settings, 'operators') ? store : undefined;
 		this.register(watchHangup(store));
 		if (store !== undefined) {
 			metrics.setCertificateExpiry(store.getCurrent().validTo);
@@ -40,7 +40,7 @@
 		}
 		const opened = CertificateStore.open(settings.tls, process.env, trail);
 		if (opened.isErr()) {
-			throw new Error(formatCertificateFault(opened.error));
+			throw new Error(formatCertificateError(opened.error));
 		}
 		return this.register(opened.value);
 	}
--- a/src/entry/node/requests/requestRouter.ts
+++ b/src/entry/node/requests/requestRouter.ts
@@ -14,7 +14,7 @@
 import { isAllowedRegion } from '../../common/placement/callPlan';
 import { RequestEvent } from '../../common/requests/requestLifecycle';
 import type { ISendAwayPolicy, OwnerRegion, RemoteOffer } from '../../common/sendAway/sendAwayPolicy';
-import type { ForwardEnd, ForwardWay } from '../peers/forwardRun';
+import type { ForwardEnd, ForwardRoute } from '../peers/forwardRun';
 import { ForwardEndKind, ForwardRun } from '../peers/forwardRun';
 import type { ForwardSender } from '../peers/forwardRun';
 import type { PeerConnection } from '../peers/peerClients';
@@ -152,7 +152,7 @@
 
 	private async sendAway(
 		run: RequestRun,
-		way: ForwardWay,
+		way: ForwardRoute,
 		triedEntries: readonly InstanceId[],
 	): Promise<void> {
 		const { to } = way;
@@ -204,7 +204,7 @@
 		runner.submitReturned(run);
 	}
 
-	async forward(run: RequestRun, way: ForwardWay): Promise<ForwardEnd> {
+	async forward(run: RequestRun, way: ForwardRoute): Promise<ForwardEnd> {
 		const forward = new ForwardRun(run, way, this.context.describeSender(), this.timers);
 		run.setAbandonHandler(() => {
 			forward.abandon();
--- a/src/entry/node/requests/ticketRouter.ts
+++ b/src/entry/node/requests/ticketRouter.ts
@@ -16,7 +16,7 @@
 import type { IAnswerSink } from '../../common/callers/answerSink';
 import { RequestEvent } from '../../common/requests/requestLifecycle';
 import { TicketRouteKind } from '../../common/tickets/ticketRoute';
-import type { ForwardEnd, ForwardWay } from '../peers/forwardRun';
+import type { ForwardEnd, ForwardRoute } from '../peers/forwardRun';
 import { ForwardEndKind } from '../peers/forwardRun';
 import type { TicketService } from '../tickets/ticketService';
 import { RecordingSink } from './recordingSink';
@@ -26,7 +26,7 @@
 /** Creates request runs and forwards them to other entries. */
 export interface IRequestForwarder {
 	openRun(call: AcceptedCall, sink: IAnswerSink): RequestRun;
-	forward(run: RequestRun, way: ForwardWay): Promise<ForwardEnd>;
+	forward(run: RequestRun, way: ForwardRoute): Promise<ForwardEnd>;
 }
 
 /** Routes calls with a ticket. */
