--- a/src/core/charts/common/typedChart.ts
+++ b/src/core/charts/common/typedChart.ts
@@ -12,7 +12,7 @@
 
 function checkNames(
 	chartId: string,
-	what: string,
+	kind: string,
 	inFile: readonly string[],
 	inCode: readonly string[],
 ): void {
@@ -20,7 +20,7 @@
 	const missing = inCode.filter(name => !inFile.includes(name));
 	if (unknown.length > 0 || missing.length > 0) {
 		throw new ChartError(
-			`${chartId}: ${what} only in the file: ${unknown.join(' ')}; only in the code: ${missing.join(' ')}`,
+			`${chartId}: ${kind} only in the file: ${unknown.join(' ')}; only in the code: ${missing.join(' ')}`,
 		);
 	}
 }
@@ -45,28 +45,28 @@
 }
 
 /** One life on a typed chart. */
-export class TypedWalk<TState extends string, TEvent extends string> {
-	private readonly walk: ChartWalk;
+export class TypedStateMachine<TState extends string, TEvent extends string> {
+	private readonly machine: ChartWalk;
 
 	constructor(chart: TypedChart<TState, TEvent>) {
-		this.walk = new ChartWalk(chart.chart);
+		this.machine = new ChartWalk(chart.chart);
 	}
 
 	getState(): TState {
-		return this.walk.getState() as TState;
+		return this.machine.getState() as TState;
 	}
 
 	isEnded(): boolean {
-		return this.walk.isEnded();
+		return this.machine.isEnded();
 	}
 
 	/** Follows an event's edge and gives the new state; an event without an edge is a ChartError. */
 	send(event: TEvent): TState {
-		return this.walk.send(event) as TState;
+		return this.machine.send(event) as TState;
 	}
 
 	/** Follows an event's edge where there is one, and says whether there was. */
 	accept(event: TEvent): boolean {
-		return this.walk.accept(event);
+		return this.machine.accept(event);
 	}
 }
--- a/src/core/discovery/common/discovery.ts
+++ b/src/core/discovery/common/discovery.ts
@@ -43,7 +43,7 @@
 }
 
 /** How long a lapsed registration may take to come back once the store is there again, in milliseconds. */
-export const settleMs = 2_200;
+export const reregistrationGraceMs = 2_200;
 
 /** How many removed targets are remembered with their boots. */
 const maxRemovedBoots = 1_000;
@@ -51,7 +51,7 @@
 /** Holds what is registered. */
 export class Discovery extends Disposable {
 	private readonly known = new Map<TargetId, KnownTarget>();
-	private readonly removals = new Map<TargetId, number>();
+	private readonly pendingRemovals = new Map<TargetId, number>();
 	/** Boots of removed targets, to recognise their outdated registrations after a restore of the store. */
 	private readonly removedBoots = new LRUCache<TargetId, BootId>({ max: maxRemovedBoots });
 	private evacuated: ReadonlySet<ZoneName> = new Set();
@@ -92,7 +92,7 @@
 			}
 		}
 		for (const id of change.removed) {
-			this.noteRemoved(id, change.isAfterOutage, nowMs);
+			this.handleRemoval(id, change.isAfterOutage, nowMs);
 		}
 		this.channel.emit(undefined);
 	}
@@ -119,7 +119,7 @@
 
 	/** Carries out removals that were held back. */
 	expire(nowMs: number): void {
-		const due = [...this.removals].filter(([, dueMs]) => dueMs <= nowMs);
+		const due = [...this.pendingRemovals].filter(([, dueMs]) => dueMs <= nowMs);
 		for (const [id] of due) {
 			this.remove(id, 'not registered again after an outage of the store');
 		}
@@ -141,23 +141,23 @@
 	private putTarget(target: DiscoveredTarget, nowMs: number): void {
 		const { id } = target;
 		const before = this.known.get(id);
-		const isOtherStart =
+		const isNewBoot =
 			before === undefined || before.target.boot !== target.boot || before.target.url !== target.url;
-		this.removals.delete(id);
+		this.pendingRemovals.delete(id);
 		this.known.set(id, {
 			target,
 			coldUntilMs: nowMs + target.coldLeftMs,
 			endsMs: target.remainingMs === undefined ? Number.POSITIVE_INFINITY : nowMs + target.remainingMs,
-			generation: (before?.generation ?? 0) + (isOtherStart ? 1 : 0),
+			generation: (before?.generation ?? 0) + (isNewBoot ? 1 : 0),
 		});
 		const from = before === undefined ? 'unknown' : describeState(before.target);
 		const to = describeState(target);
-		if (from !== to || isOtherStart) {
+		if (from !== to || isNewBoot) {
 			this.record(id, from, to, `registration, ${target.service} in ${target.zone}`);
 		}
 	}
 
-	private noteRemoved(id: TargetId, isAfterOutage: boolean, nowMs: number): void {
+	private handleRemoval(id: TargetId, isAfterOutage: boolean, nowMs: number): void {
 		const known = this.known.get(id);
 		if (known === undefined) {
 			return;
@@ -166,7 +166,7 @@
 			this.remove(id, 'registration removed');
 			return;
 		}
-		this.removals.set(id, nowMs + settleMs);
+		this.pendingRemovals.set(id, nowMs + reregistrationGraceMs);
 		this.record(
 			id,
 			describeState(known.target),
@@ -177,7 +177,7 @@
 
 	private remove(id: TargetId, sign: string): void {
 		const known = this.known.get(id);
-		this.removals.delete(id);
+		this.pendingRemovals.delete(id);
 		if (known !== undefined) {
 			this.known.delete(id);
 			this.recordRemovedBoot(known.target);
--- a/src/core/discovery/test/discovery.test.ts
+++ b/src/core/discovery/test/discovery.test.ts
@@ -1,7 +1,7 @@
 import { RingAuditTrail } from '../../audit/common/ringAuditTrail';
 import type { BootId, RegionName, ServiceName, TargetId, ZoneName } from '../../ids/common/ids';
 import type { DiscoveredTarget } from '../common/discoveredTarget';
-import { Discovery, settleMs } from '../common/discovery';
+import { Discovery, reregistrationGraceMs } from '../common/discovery';
 
 const id = 'engine-1' as TargetId;
 const zone = 'kingston-a' as ZoneName;
@@ -40,17 +40,17 @@
 	it('waits for a target to register again after an outage of the store', () => {
 		const discovery = createDiscovery(createTarget());
 		discovery.applyRegistrations({ registered: [], removed: [id], isAfterOutage: true }, 100);
-		discovery.expire(100 + settleMs - 1);
+		discovery.expire(100 + reregistrationGraceMs - 1);
 		expect(discovery.list()).toHaveLength(1);
 		discovery.applyRegistrations({ registered: [createTarget()], removed: [], isAfterOutage: true }, 900);
-		discovery.expire(100 + settleMs);
+		discovery.expire(100 + reregistrationGraceMs);
 		expect(discovery.list()).toHaveLength(1);
 	});
 
 	it('drops it when it does not', () => {
 		const discovery = createDiscovery(createTarget());
 		discovery.applyRegistrations({ registered: [], removed: [id], isAfterOutage: true }, 100);
-		discovery.expire(100 + settleMs);
+		discovery.expire(100 + reregistrationGraceMs);
 		expect(discovery.list()).toEqual([]);
 	});
 
--- a/src/core/following/common/watchPace.ts
+++ b/src/core/following/common/watchBackoff.ts
@@ -14,40 +14,40 @@
 import type { IRandom } from '../../../base/common/random';
 
 /** Bounds of one follower, in milliseconds. */
-export interface WatchFigures {
+export interface WatchTimings {
 	/** How long a read hangs at the publisher. */
-	readonly watchMs: number;
+	readonly maxWaitMs: number;
 	/** How long an answer may take beyond the wait. */
-	readonly answerMs: number;
-	readonly leastPauseMs: number;
-	readonly mostPauseMs: number;
+	readonly answerTimeoutMs: number;
+	readonly minPauseMs: number;
+	readonly maxPauseMs: number;
 }
 
 /** Shares of the time by which news may be late; a tenth is left for the connection and the read after a failure. */
-const watchShare = 0.6;
-const answerShare = 0.3;
+const maxWaitShare = 0.6;
+const answerTimeoutShare = 0.3;
 
 /** A read that hung into an outage, a pause and the way back together stay well below the whole. */
-const mostPauseShare = 0.25;
-const leastPauseShare = 0.02;
+const maxPauseShare = 0.25;
+const minPauseShare = 0.02;
 
 /** Figures with which news are never later than `newsWithinMs` once the publisher answers. */
-export function planWatch(newsWithinMs: number): WatchFigures {
+export function computeWatchTimings(maxDelayMs: number): WatchTimings {
 	return {
-		watchMs: Math.floor(watchShare * newsWithinMs),
-		answerMs: Math.floor(answerShare * newsWithinMs),
-		leastPauseMs: leastPauseShare * newsWithinMs,
-		mostPauseMs: mostPauseShare * newsWithinMs,
+		maxWaitMs: Math.floor(maxWaitShare * maxDelayMs),
+		answerTimeoutMs: Math.floor(answerTimeoutShare * maxDelayMs),
+		minPauseMs: minPauseShare * maxDelayMs,
+		maxPauseMs: maxPauseShare * maxDelayMs,
 	};
 }
 
 /** Paces the reads of one follower. */
-export class WatchPace {
-	private failures = 0;
-	private isDoubted = false;
+export class WatchBackoff {
+	private consecutiveFailures = 0;
+	private isStale = false;
 
 	constructor(
-		private readonly figures: WatchFigures,
+		private readonly timings: WatchTimings,
 		private readonly random: IRandom,
 	) {}
 
@@ -55,22 +55,22 @@
 	 * How long the next read may hang at the publisher, in milliseconds; 0 asks for what there is now. After a
 	 * failure nothing hangs: a read begun in an outage would be waited out past the publisher's return.
 	 */
-	planWaitMs(): number {
-		return this.failures > 0 || this.isDoubted ? 0 : this.figures.watchMs;
+	computeWaitMs(): number {
+		return this.consecutiveFailures > 0 || this.isStale ? 0 : this.timings.maxWaitMs;
 	}
 
-	noteAnswered(): void {
-		this.failures = 0;
-		this.isDoubted = false;
+	recordAnswer(): void {
+		this.consecutiveFailures = 0;
+		this.isStale = false;
 	}
 
 	/** What was read may be old, though no read has failed. */
-	noteDoubted(): void {
-		this.isDoubted = true;
+	markStale(): void {
+		this.isStale = true;
 	}
 
-	noteFailed(): void {
-		this.failures++;
+	recordFailure(): void {
+		this.consecutiveFailures++;
 	}
 
 	/**
@@ -78,8 +78,8 @@
 	 * lost the publisher together does not come back to it in one instant and trip the rate that all share.
 	 */
 	computePauseMs(): number {
-		const { leastPauseMs, mostPauseMs } = this.figures;
-		const limitMs = Math.min(mostPauseMs, leastPauseMs * 2 ** this.failures);
-		return leastPauseMs + this.random.pickFraction() * (limitMs - leastPauseMs);
+		const { minPauseMs, maxPauseMs } = this.timings;
+		const limitMs = Math.min(maxPauseMs, minPauseMs * 2 ** this.consecutiveFailures);
+		return minPauseMs + this.random.pickFraction() * (limitMs - minPauseMs);
 	}
 }
--- a/src/core/following/node/platformFollower.ts
+++ b/src/core/following/node/platformFollower.ts
@@ -9,8 +9,8 @@
 import type { IRandom } from '../../../base/common/random';
 import type { ITimerService } from '../../../base/common/timerService';
 import { waitFor } from '../../../base/common/waitFor';
-import type { WatchFigures } from '../common/watchPace';
-import { planWatch, WatchPace } from '../common/watchPace';
+import type { WatchTimings } from '../common/watchBackoff';
+import { computeWatchTimings, WatchBackoff } from '../common/watchBackoff';
 import type { PlatformRead } from '../../platformClient/node/platformClient';
 
 /** A document with a version. */
@@ -19,7 +19,7 @@
 }
 
 /** One read of a document, as a client gives it. */
-export type ReadAfter<TDocument extends IVersioned> = (
+export type ReadDocument<TDocument extends IVersioned> = (
 	after: number,
 	waitMs: number,
 	signal: AbortSignal,
@@ -29,24 +29,24 @@
 export class PlatformFollower<TDocument extends IVersioned> extends Disposable {
 	private readonly abort = new AbortController();
 	private readonly documents = this.register(new Channel<TDocument>());
-	private readonly figures: WatchFigures;
-	private readonly pace: WatchPace;
+	private readonly timings: WatchTimings;
+	private readonly backoff: WatchBackoff;
 	private lastVersion = 0;
-	private reads = 0;
-	private lastReadMs: number | undefined;
+	private readCount = 0;
+	private lastAnswerMs: number | undefined;
 
 	readonly onDidRead: Stream<TDocument> = this.documents.stream;
 
-	/** @param newsWithinMs By how many milliseconds a version may be late once the platform answers. */
+	/** @param maxDelayMs By how many milliseconds a version may be late once the platform answers. */
 	constructor(
-		private readonly readAfter: ReadAfter<TDocument>,
+		private readonly readDocument: ReadDocument<TDocument>,
 		private readonly timers: ITimerService,
 		private readonly random: IRandom,
-		newsWithinMs: number,
+		maxDelayMs: number,
 	) {
 		super();
-		this.figures = planWatch(newsWithinMs);
-		this.pace = new WatchPace(this.figures, random);
+		this.timings = computeWatchTimings(maxDelayMs);
+		this.backoff = new WatchBackoff(this.timings, random);
 		this.register(
 			toDisposable(() => {
 				this.abort.abort();
@@ -62,44 +62,44 @@
 	}
 
 	/** Reads made so far, waiting watches counted once. */
-	getReads(): number {
-		return this.reads;
+	countReads(): number {
+		return this.readCount;
 	}
 
 	/** Milliseconds since the platform last answered, or undefined before the first answer. */
-	getSilenceMs(): number | undefined {
-		return this.lastReadMs === undefined ? undefined : this.timers.getNow() - this.lastReadMs;
+	getTimeSinceAnswerMs(): number | undefined {
+		return this.lastAnswerMs === undefined ? undefined : this.timers.getNow() - this.lastAnswerMs;
 	}
 
 	private async readOnce(): Promise<void> {
-		this.reads++;
+		this.readCount++;
 		const startedMs = this.timers.getNow();
-		const waitMs = this.pace.planWaitMs();
-		const read = await this.readAfter(this.lastVersion, waitMs, this.abort.signal);
+		const waitMs = this.backoff.computeWaitMs();
+		const read = await this.readDocument(this.lastVersion, waitMs, this.abort.signal);
 		if (read.isErr()) {
-			this.pace.noteFailed();
+			this.backoff.recordFailure();
 			// Told the same time, a fleet that came back exactly then would be refused together again.
-			const pauseMs = (read.error.retryAfterMs ?? 0) + this.pace.computePauseMs();
+			const pauseMs = (read.error.retryAfterMs ?? 0) + this.backoff.computePauseMs();
 			await waitFor(this.timers, pauseMs, this.abort.signal);
 			return;
 		}
-		this.pace.noteAnswered();
-		this.lastReadMs = this.timers.getNow();
+		this.backoff.recordAnswer();
+		this.lastAnswerMs = this.timers.getNow();
 		if (read.value !== undefined) {
 			this.lastVersion = read.value.version;
 			this.documents.emit(read.value);
 		} else if (waitMs > 0) {
-			await this.waitOutEarlyAnswer(startedMs);
+			await this.waitAfterEarlyAnswer(startedMs);
 		}
 	}
 
 	/** A platform that says "nothing new" at once must not be asked again in a tight loop. */
-	private async waitOutEarlyAnswer(startedMs: number): Promise<void> {
-		const { leastPauseMs } = this.figures;
+	private async waitAfterEarlyAnswer(startedMs: number): Promise<void> {
+		const { minPauseMs } = this.timings;
 		const tookMs = this.timers.getNow() - startedMs;
-		if (tookMs < leastPauseMs) {
-			const drawnMs = this.random.pickFraction() * leastPauseMs;
-			await waitFor(this.timers, leastPauseMs + drawnMs, this.abort.signal);
+		if (tookMs < minPauseMs) {
+			const jitterMs = this.random.pickFraction() * minPauseMs;
+			await waitFor(this.timers, minPauseMs + jitterMs, this.abort.signal);
 		}
 	}
 }
--- a/src/core/following/test/platformFollower.test.ts
+++ b/src/core/following/test/platformFollower.test.ts
@@ -3,8 +3,8 @@
 import { subscribeTo } from '../../../base/common/channel';
 import { ManualTimerService } from '../../../base/common/manualTimerService';
 import { SeededRandom } from '../../../base/common/random';
-import type { PlatformFault } from '../../platformClient/node/platformClient';
-import { planWatch } from '../common/watchPace';
+import type { PlatformError } from '../../platformClient/node/platformClient';
+import { computeWatchTimings } from '../common/watchBackoff';
 import { PlatformFollower } from '../node/platformFollower';
 import type { Silence } from './silentPublisher';
 import { SilentPublisher } from './silentPublisher';
@@ -13,9 +13,9 @@
 	readonly version: number;
 }
 
-type Answer = Result<Document | undefined, PlatformFault>;
+type Answer = Result<Document | undefined, PlatformError>;
 
-const newsWithinMs = 9_000;
+const maxDelayMs = 9_000;
 
 const outage: Answer = err({ detail: 'connect refused', retryAfterMs: undefined });
 
@@ -41,7 +41,7 @@
 		},
 		timers,
 		new SeededRandom(seed),
-		newsWithinMs,
+		maxDelayMs,
 	);
 	subscribeTo(follower.onDidRead, ({ version }) => versions.push(version));
 	const advance = async (durationMs: number): Promise<void> => {
@@ -111,18 +111,18 @@
 	// given to follow, and callers are served by rules that were replaced.
 	it('has what was published at the end of a silence within the time allowed', async () => {
 		for (let lengthMs = 500; lengthMs <= 30_000; lengthMs += 500) {
-			const delayMs = await measureNewsDelay({ fromMs: 12_000, toMs: 12_000 + lengthMs });
-			expect(delayMs).toBeLessThanOrEqual(newsWithinMs);
+			const delayMs = await measureDelay({ fromMs: 12_000, toMs: 12_000 + lengthMs });
+			expect(delayMs).toBeLessThanOrEqual(maxDelayMs);
 		}
 	});
 });
 
 /** Milliseconds from the end of a silence, when version 2 is published, until a follower has it. */
-async function measureNewsDelay(silence: Silence): Promise<number> {
+async function measureDelay(silence: Silence): Promise<number> {
 	const timers = new ManualTimerService();
 	const publisher = new SilentPublisher(timers, silence);
-	const { answerMs } = planWatch(newsWithinMs);
-	const giveUp = (afterMs: number): Promise<Answer> =>
+	const { answerTimeoutMs } = computeWatchTimings(maxDelayMs);
+	const waitForTimeout = (afterMs: number): Promise<Answer> =>
 		new Promise(resolve => {
 			timers.schedule(afterMs, () => {
 				resolve(outage);
@@ -134,18 +134,18 @@
 				const { version } = publisher;
 				return ok(version > after ? { version } : undefined);
 			});
-			return Promise.race([read, giveUp(waitMs + answerMs)]);
+			return Promise.race([read, waitForTimeout(waitMs + answerTimeoutMs)]);
 		},
 		timers,
 		new SeededRandom(1),
-		newsWithinMs,
+		maxDelayMs,
 	);
-	let held = 0;
+	let heldVersion = 0;
 	subscribeTo(follower.onDidRead, ({ version }) => {
-		held = version;
+		heldVersion = version;
 	});
 	void follower.follow();
-	while (held < 2) {
+	while (heldVersion < 2) {
 		await new Promise(resolve => setImmediate(resolve));
 		timers.advance(100);
 	}
--- a/src/core/following/test/silentPublisher.ts
+++ b/src/core/following/test/silentPublisher.ts
@@ -13,7 +13,7 @@
 }
 
 export class SilentPublisher {
-	private readonly hanging = new Set<() => void>();
+	private readonly openReads = new Set<() => void>();
 	/** 1, and 2 from the end of the silence on. */
 	version = 1;
 
@@ -22,7 +22,7 @@
 		private readonly silence: Silence,
 	) {
 		timers.schedule(silence.fromMs, () => {
-			this.hanging.clear();
+			this.openReads.clear();
 		});
 		timers.schedule(silence.toMs, () => {
 			this.write();
@@ -40,18 +40,18 @@
 				return;
 			}
 			const answer = (): void => {
-				if (this.hanging.delete(answer)) {
+				if (this.openReads.delete(answer)) {
 					resolve();
 				}
 			};
-			this.hanging.add(answer);
+			this.openReads.add(answer);
 			this.timers.schedule(waitMs, answer);
 		});
 	}
 
 	private write(): void {
 		this.version = 2;
-		for (const answer of this.hanging) {
+		for (const answer of this.openReads) {
 			answer();
 		}
 	}
--- a/src/core/instances/common/instanceLife.ts
+++ b/src/core/instances/common/instanceLifecycle.ts
@@ -10,7 +10,7 @@
  */
 
 import chartFile from '../../../../charts/instance.json';
-import { TypedChart, TypedWalk } from '../../charts/common/typedChart';
+import { TypedChart, TypedStateMachine } from '../../charts/common/typedChart';
 
 export enum InstanceState {
 	Live = 'live',
@@ -36,9 +36,9 @@
 export const instanceChart = new TypedChart(chartFile, InstanceState, InstanceEvent);
 
 /** How long an instance may be silent, in milliseconds. */
-export interface SilenceLimits {
-	readonly suspectMs: number;
-	readonly forgetMs: number;
+export interface SilenceTimeouts {
+	readonly suspectAfterMs: number;
+	readonly removeAfterMs: number;
 }
 
 /** A change of state with what led to it. */
@@ -49,64 +49,64 @@
 }
 
 /** One start's life; times are monotonic milliseconds of the process that keeps it. */
-export class InstanceLife {
-	private readonly walk = new TypedWalk(instanceChart);
+export class InstanceLifecycle {
+	private readonly stateMachine = new TypedStateMachine(instanceChart);
 
 	constructor(
-		private heardMs: number,
-		private readonly limits: SilenceLimits,
+		private lastReportMs: number,
+		private readonly timeouts: SilenceTimeouts,
 		private readonly onDidChange: (change: InstanceChange) => void,
 	) {}
 
 	getState(): InstanceState {
-		return this.walk.getState();
+		return this.stateMachine.getState();
 	}
 
 	/** When it was last known to speak. */
-	getHeardMs(): number {
-		return this.heardMs;
+	getLastReportMs(): number {
+		return this.lastReportMs;
 	}
 
 	/** It spoke at `spokeMs`, which lies back by the age of the view that tells it. */
-	noteHeard(spokeMs: number, isLeaving: boolean, sign: string): void {
-		if (spokeMs > this.heardMs) {
-			this.heardMs = spokeMs;
-			this.follow(InstanceEvent.Hear, sign);
+	noteReport(reportedMs: number, isLeaving: boolean, sign: string): void {
+		if (reportedMs > this.lastReportMs) {
+			this.lastReportMs = reportedMs;
+			this.applyEvent(InstanceEvent.Hear, sign);
 		}
 		if (isLeaving) {
-			this.follow(InstanceEvent.Leave, sign);
+			this.applyEvent(InstanceEvent.Leave, sign);
 		}
 	}
 
 	/** The instance list arrived. Live again on it is `suspect` until the next word of its own. */
 	noteListed(isLeaving: boolean): void {
-		this.follow(isLeaving ? InstanceEvent.ListLeaving : InstanceEvent.ListLive, 'instance list');
+		this.applyEvent(isLeaving ? InstanceEvent.ListLeaving : InstanceEvent.ListLive, 'instance list');
 	}
 
 	/** The process that keeps this life slept: what was not heard meanwhile does not count as silence. */
-	noteOwnSleep(sleptMs: number): void {
-		this.heardMs += sleptMs;
+	noteProcessPause(pausedMs: number): void {
+		this.lastReportMs += pausedMs;
 	}
 
 	/** Judges its silence. */
 	expire(nowMs: number): void {
-		const silentMs = nowMs - this.heardMs;
-		if (silentMs >= this.limits.forgetMs) {
-			this.follow(InstanceEvent.Forget, `silent for ${Math.round(silentMs)} ms`);
-		} else if (silentMs >= this.limits.suspectMs) {
-			this.follow(InstanceEvent.Miss, `silent for ${Math.round(silentMs)} ms`);
+		const silentMs = nowMs - this.lastReportMs;
+		if (silentMs >= this.timeouts.removeAfterMs) {
+			this.applyEvent(InstanceEvent.Forget, `silent for ${Math.round(silentMs)} ms`);
+		} else if (silentMs >= this.timeouts.suspectAfterMs) {
+			this.applyEvent(InstanceEvent.Miss, `silent for ${Math.round(silentMs)} ms`);
 		}
 	}
 
 	/** Another start of the instance answers at its address, so this one has ended. */
 	end(sign: string): void {
-		this.follow(InstanceEvent.Forget, sign);
+		this.applyEvent(InstanceEvent.Forget, sign);
 	}
 
-	private follow(event: InstanceEvent, sign: string): void {
-		const from = this.walk.getState();
-		if (this.walk.accept(event)) {
-			this.onDidChange({ from, to: this.walk.getState(), sign });
+	private applyEvent(event: InstanceEvent, sign: string): void {
+		const from = this.stateMachine.getState();
+		if (this.stateMachine.accept(event)) {
+			this.onDidChange({ from, to: this.stateMachine.getState(), sign });
 		}
 	}
 }
--- a/src/core/instances/common/instanceLives.ts
+++ b/src/core/instances/common/instanceLifecycles.ts
@@ -13,11 +13,11 @@
 import type { IAuditTrail } from '../../audit/common/auditTrail';
 import { AuditKind } from '../../audit/common/auditTrail';
 import type { BootId, InstanceId } from '../../ids/common/ids';
-import type { InstanceChange, SilenceLimits } from './instanceLife';
-import { InstanceLife, InstanceState } from './instanceLife';
+import type { InstanceChange, SilenceTimeouts } from './instanceLifecycle';
+import { InstanceLifecycle, InstanceState } from './instanceLifecycle';
 
 /** What a view tells of the life of the instance that spoke it. */
-export interface HeardInstance {
+export interface InstanceReport {
 	readonly instance: InstanceId;
 	readonly boot: BootId;
 	/** Where it answers other entries; two boots at one address cannot both be alive. */
@@ -32,37 +32,37 @@
 	readonly instance: InstanceId;
 	readonly boot: BootId;
 	readonly peerUrl: string;
-	readonly life: InstanceLife;
+	readonly lifecycle: InstanceLifecycle;
 }
 
 /** Views are exchanged about once a second; three missed ones are more than a lost packet. */
-export const defaultSilenceLimits: SilenceLimits = { suspectMs: 3_500, forgetMs: 120_000 };
+export const defaultSilenceTimeouts: SilenceTimeouts = { suspectAfterMs: 3_500, removeAfterMs: 120_000 };
 
 /** Owns one life for each boot of each other instance. */
-export class InstanceLives extends Disposable {
+export class InstanceLifecycles extends Disposable {
 	private readonly channel = this.register(new Channel<InstanceId>());
-	private readonly known = new Map<BootId, KnownInstance>();
+	private readonly knownBoots = new Map<BootId, KnownInstance>();
 	/** When boots that are gone were last heard; echoes of them that still go round are not believed. */
-	private readonly ended = new Map<BootId, number>();
+	private readonly endedBoots = new Map<BootId, number>();
 
 	/** The id of each instance one of whose boots changed its state. */
 	readonly onDidChange: Stream<InstanceId> = this.channel.stream;
 
 	constructor(
 		private readonly auditTrail: IAuditTrail,
-		private readonly limits: SilenceLimits = defaultSilenceLimits,
+		private readonly timeouts: SilenceTimeouts = defaultSilenceTimeouts,
 	) {
 		super();
 	}
 
 	/** A view arrived, from the instance itself or through another one. */
-	noteHeard(heard: HeardInstance, sign: string, nowMs: number): void {
-		if (this.ended.has(heard.boot) || heard.ageMs >= this.limits.forgetMs) {
+	noteReport(report: InstanceReport, sign: string, nowMs: number): void {
+		if (this.endedBoots.has(report.boot) || report.ageMs >= this.timeouts.removeAfterMs) {
 			return;
 		}
-		const spokeMs = nowMs - heard.ageMs;
-		const known = this.known.get(heard.boot) ?? this.open(heard, spokeMs, sign);
-		known.life.noteHeard(spokeMs, heard.isLeaving, sign);
+		const reportedMs = nowMs - report.ageMs;
+		const known = this.knownBoots.get(report.boot) ?? this.openLifecycle(report, reportedMs, sign);
+		known.lifecycle.noteReport(reportedMs, report.isLeaving, sign);
 	}
 
 	/** The instance list names an instance as leaving; it speaks of the boots already known. */
@@ -76,77 +76,79 @@
 	}
 
 	/** This process slept for `sleptMs` beyond a tick's period; call before `expire`. */
-	noteOwnSleep(sleptMs: number): void {
-		for (const known of this.known.values()) {
-			known.life.noteOwnSleep(sleptMs);
+	noteProcessPause(pausedMs: number): void {
+		for (const known of this.knownBoots.values()) {
+			known.lifecycle.noteProcessPause(pausedMs);
 		}
 	}
 
 	/** Judges silence; call about once a second. */
 	expire(nowMs: number): void {
-		for (const known of [...this.known.values()]) {
-			known.life.expire(nowMs);
+		for (const known of [...this.knownBoots.values()]) {
+			known.lifecycle.expire(nowMs);
 		}
-		for (const [boot, heardMs] of [...this.ended]) {
-			if (nowMs - heardMs >= this.limits.forgetMs) {
-				this.ended.delete(boot);
+		for (const [boot, lastReportMs] of [...this.endedBoots]) {
+			if (nowMs - lastReportMs >= this.timeouts.removeAfterMs) {
+				this.endedBoots.delete(boot);
 			}
 		}
 	}
 
 	/** The boot of an instance that was heard last, or undefined. */
-	findNewest(instance: InstanceId): KnownInstance | undefined {
+	findLastReported(instance: InstanceId): KnownInstance | undefined {
 		return this.listBoots(instance).reduce<KnownInstance | undefined>(
 			(newest, known) =>
-				newest === undefined || known.life.getHeardMs() > newest.life.getHeardMs() ? known : newest,
+				newest === undefined || known.lifecycle.getLastReportMs() > newest.lifecycle.getLastReportMs()
+					? known
+					: newest,
 			undefined,
 		);
 	}
 
 	findBoot(boot: BootId): KnownInstance | undefined {
-		return this.known.get(boot);
+		return this.knownBoots.get(boot);
 	}
 
 	/** Boots that take new callers. */
 	listLive(): readonly KnownInstance[] {
-		return [...this.known.values()].filter(known => known.life.getState() === InstanceState.Live);
+		return [...this.knownBoots.values()].filter(known => known.lifecycle.getState() === InstanceState.Live);
 	}
 
 	private noteListed(instance: InstanceId, isLeaving: boolean): void {
 		for (const known of this.listBoots(instance)) {
-			known.life.noteListed(isLeaving);
+			known.lifecycle.noteListed(isLeaving);
 		}
 	}
 
 	private listBoots(instance: InstanceId): readonly KnownInstance[] {
-		return [...this.known.values()].filter(known => known.instance === instance);
+		return [...this.knownBoots.values()].filter(known => known.instance === instance);
 	}
 
-	private open(heard: HeardInstance, spokeMs: number, sign: string): KnownInstance {
-		const { instance, boot, peerUrl } = heard;
-		this.endPredecessors(heard, spokeMs);
-		const life = new InstanceLife(spokeMs, this.limits, change => {
-			this.noteChange(instance, boot, change, spokeMs);
+	private openLifecycle(report: InstanceReport, reportedMs: number, sign: string): KnownInstance {
+		const { instance, boot, peerUrl } = report;
+		this.endPredecessors(report, reportedMs);
+		const lifecycle = new InstanceLifecycle(reportedMs, this.timeouts, change => {
+			this.noteChange(instance, boot, change, reportedMs);
 		});
-		const known = { instance, boot, peerUrl, life };
-		this.known.set(boot, known);
+		const known = { instance, boot, peerUrl, lifecycle };
+		this.knownBoots.set(boot, known);
 		this.record(known, 'unknown', InstanceState.Live, sign);
 		return known;
 	}
 
-	private endPredecessors(heard: HeardInstance, spokeMs: number): void {
-		for (const known of this.listBoots(heard.instance)) {
-			if (known.peerUrl === heard.peerUrl && known.life.getHeardMs() < spokeMs) {
-				known.life.end(`boot ${heard.boot} answers at its address`);
+	private endPredecessors(report: InstanceReport, reportedMs: number): void {
+		for (const known of this.listBoots(report.instance)) {
+			if (known.peerUrl === report.peerUrl && known.lifecycle.getLastReportMs() < reportedMs) {
+				known.lifecycle.end(`boot ${report.boot} answers at its address`);
 			}
 		}
 	}
 
 	private noteChange(instance: InstanceId, boot: BootId, change: InstanceChange, openedMs: number): void {
-		const known = this.known.get(boot);
+		const known = this.knownBoots.get(boot);
 		if (change.to === InstanceState.Gone) {
-			this.known.delete(boot);
-			this.ended.set(boot, known?.life.getHeardMs() ?? openedMs);
+			this.knownBoots.delete(boot);
+			this.endedBoots.set(boot, known?.lifecycle.getLastReportMs() ?? openedMs);
 		}
 		this.record({ instance, boot }, change.from, change.to, change.sign);
 	}
--- a/src/core/instances/test/instanceLives.test.ts
+++ b/src/core/instances/test/instanceLifecycles.test.ts
@@ -1,30 +1,30 @@
 import fc from 'fast-check';
 import type { IAuditTrail } from '../../audit/common/auditTrail';
 import type { BootId, InstanceId } from '../../ids/common/ids';
-import { InstanceState } from '../common/instanceLife';
-import type { HeardInstance } from '../common/instanceLives';
-import { InstanceLives } from '../common/instanceLives';
+import { InstanceState } from '../common/instanceLifecycle';
+import type { InstanceReport } from '../common/instanceLifecycles';
+import { InstanceLifecycles } from '../common/instanceLifecycles';
 
-const limits = { suspectMs: 3_000, forgetMs: 60_000 };
+const timeouts = { suspectAfterMs: 3_000, removeAfterMs: 60_000 };
 const instance = 'entry-1' as InstanceId;
 
 const trail = { record: () => undefined } as unknown as IAuditTrail;
 
-function createLives(): InstanceLives {
-	return new InstanceLives(trail, limits);
+function createLifecycles(): InstanceLifecycles {
+	return new InstanceLifecycles(trail, timeouts);
 }
 
-function createHeard(boot: string, more: Partial<HeardInstance> = {}): HeardInstance {
+function createReport(boot: string, more: Partial<InstanceReport> = {}): InstanceReport {
 	const peerUrl = 'http://127.0.0.1:7001';
 	return { instance, boot: boot as BootId, peerUrl, isLeaving: false, ageMs: 0, ...more };
 }
 
-function getState(lives: InstanceLives, boot: string): InstanceState | undefined {
-	return lives.findBoot(boot as BootId)?.life.getState();
+function getState(lives: InstanceLifecycles, boot: string): InstanceState | undefined {
+	return lives.findBoot(boot as BootId)?.lifecycle.getState();
 }
 
 /** What the property finds wrong, or undefined where it holds. */
-function findFault(createSubject: () => InstanceLives): string | undefined {
+function findViolation(createSubject: () => InstanceLifecycles): string | undefined {
 	const view = fc.record({ ageMs: fc.nat(70_000), isLeaving: fc.boolean(), waitMs: fc.nat(10_000) });
 	const property = fc.property(fc.array(view), views => {
 		const lives = createSubject();
@@ -32,8 +32,8 @@
 		let nowMs = 0;
 		for (const { waitMs, ...one } of views) {
 			nowMs += waitMs;
-			lives.noteHeard(createHeard('b1', one), 'peer', nowMs);
-			isLeaving ||= one.isLeaving && one.ageMs < limits.forgetMs;
+			lives.noteReport(createReport('b1', one), 'peer', nowMs);
+			isLeaving ||= one.isLeaving && one.ageMs < timeouts.removeAfterMs;
 			if (isLeaving && lives.listLive().length > 0) {
 				throw new Error('a leaving boot is named');
 			}
@@ -44,10 +44,10 @@
 }
 
 /** Forgets what a boot said before its newest view. */
-class NewestViewLives extends InstanceLives {
-	override noteHeard(...[heard, sign, nowMs]: Parameters<InstanceLives['noteHeard']>): void {
-		this.findBoot(heard.boot)?.life.end('overwritten');
-		super.noteHeard({ ...heard, boot: `${heard.boot}.${nowMs}` as BootId }, sign, nowMs);
+class NewestViewLifecycles extends InstanceLifecycles {
+	override noteReport(...[heard, sign, nowMs]: Parameters<InstanceLifecycles['noteReport']>): void {
+		this.findBoot(heard.boot)?.lifecycle.end('overwritten');
+		super.noteReport({ ...heard, boot: `${heard.boot}.${nowMs}` as BootId }, sign, nowMs);
 	}
 }
 
@@ -55,44 +55,50 @@
 	// An entry that is stopping says so once, and views from before go round for a while. Believed, they
 	// would send callers to it until it is gone.
 	it('never takes a boot back that said it was leaving, whatever order its views arrive in', () => {
-		expect(findFault(createLives)).toBeUndefined();
+		expect(findViolation(createLifecycles)).toBeUndefined();
 	});
 
 	it('is found wrong if the newest view alone counts', () => {
-		expect(findFault(() => new NewestViewLives(trail, limits))).toContain('a leaving boot is named');
+		expect(findViolation(() => new NewestViewLifecycles(trail, timeouts))).toContain(
+			'a leaving boot is named',
+		);
 	});
 
 	it('suspects a silent instance, hears it again, and forgets it at last', () => {
-		const lives = createLives();
-		lives.noteHeard(createHeard('b1'), 'peer', 0);
+		const lives = createLifecycles();
+		lives.noteReport(createReport('b1'), 'peer', 0);
 		lives.expire(3_000);
-		lives.noteHeard(createHeard('b1', { ageMs: 3_500 }), 'peer', 3_050);
+		lives.noteReport(createReport('b1', { ageMs: 3_500 }), 'peer', 3_050);
 		expect(getState(lives, 'b1')).toBe(InstanceState.Suspect);
-		lives.noteHeard(createHeard('b1', { ageMs: 100 }), 'peer', 3_100);
+		lives.noteReport(createReport('b1', { ageMs: 100 }), 'peer', 3_100);
 		expect(getState(lives, 'b1')).toBe(InstanceState.Live);
 		lives.expire(63_000);
 		expect(getState(lives, 'b1')).toBeUndefined();
 		lives.expire(63_100);
-		lives.noteHeard(createHeard('b1'), 'peer', 63_200);
+		lives.noteReport(createReport('b1'), 'peer', 63_200);
 		expect(getState(lives, 'b1')).toBe(InstanceState.Live);
 	});
 
 	// An instance restarts at its address; a view of its earlier boot still goes round. Without boots of
 	// their own, the old word `leaving` would take the new one out.
 	it('ends the boot before at the same address and ignores its echoes', () => {
-		const lives = createLives();
-		lives.noteHeard(createHeard('b1'), 'peer', 0);
-		lives.noteHeard(createHeard('b2'), 'peer', 1_000);
-		lives.noteHeard(createHeard('b1', { ageMs: 1_500, isLeaving: true }), 'peer', 2_000);
+		const lives = createLifecycles();
+		lives.noteReport(createReport('b1'), 'peer', 0);
+		lives.noteReport(createReport('b2'), 'peer', 1_000);
+		lives.noteReport(createReport('b1', { ageMs: 1_500, isLeaving: true }), 'peer', 2_000);
 		expect([getState(lives, 'b1'), getState(lives, 'b2')]).toEqual([undefined, InstanceState.Live]);
-		expect(lives.findNewest(instance)?.boot).toBe('b2');
+		expect(lives.findLastReported(instance)?.boot).toBe('b2');
 	});
 
 	// A frozen process wakes under the name of its replacement, at an address of its own.
 	it('keeps a sleeper and its replacement apart', () => {
-		const lives = createLives();
-		lives.noteHeard(createHeard('b2'), 'peer', 1_000);
-		lives.noteHeard(createHeard('b1', { peerUrl: 'http://127.0.0.2:7001', isLeaving: true }), 'peer', 2_000);
+		const lives = createLifecycles();
+		lives.noteReport(createReport('b2'), 'peer', 1_000);
+		lives.noteReport(
+			createReport('b1', { peerUrl: 'http://127.0.0.2:7001', isLeaving: true }),
+			'peer',
+			2_000,
+		);
 		expect([getState(lives, 'b1'), getState(lives, 'b2')]).toEqual([
 			InstanceState.Leaving,
 			InstanceState.Live,
@@ -102,26 +108,26 @@
 	// An instance is restarted in place, and the late list now says `leaving` of the start before. Taken for
 	// good, the new start would get no callers until its next restart.
 	it('believes the list for as long as it says leaving, and an own word for good', () => {
-		const lives = createLives();
-		lives.noteHeard(createHeard('b2'), 'peer', 0);
+		const lives = createLifecycles();
+		lives.noteReport(createReport('b2'), 'peer', 0);
 		lives.noteListedLeaving(instance);
-		lives.noteHeard(createHeard('b2'), 'peer', 1_000);
+		lives.noteReport(createReport('b2'), 'peer', 1_000);
 		expect(getState(lives, 'b2')).toBe(InstanceState.ListedLeaving);
 		lives.noteListedLive(instance);
-		lives.noteHeard(createHeard('b2'), 'peer', 2_000);
+		lives.noteReport(createReport('b2'), 'peer', 2_000);
 		expect(getState(lives, 'b2')).toBe(InstanceState.Live);
-		lives.noteHeard(createHeard('b2', { isLeaving: true }), 'peer', 3_000);
+		lives.noteReport(createReport('b2', { isLeaving: true }), 'peer', 3_000);
 		lives.noteListedLive(instance);
-		lives.noteHeard(createHeard('b2'), 'peer', 4_000);
+		lives.noteReport(createReport('b2'), 'peer', 4_000);
 		expect(getState(lives, 'b2')).toBe(InstanceState.Leaving);
 	});
 
 	// This process is frozen for two minutes. On waking, everyone seems to have been silent for so long,
 	// and it would refuse every forwarded ticket until it heard from them again.
 	it('does not take its own sleep for the silence of the others', () => {
-		const lives = createLives();
-		lives.noteHeard(createHeard('b1'), 'peer', 0);
-		lives.noteOwnSleep(120_000);
+		const lives = createLifecycles();
+		lives.noteReport(createReport('b1'), 'peer', 0);
+		lives.noteProcessPause(120_000);
 		lives.expire(121_000);
 		expect(getState(lives, 'b1')).toBe(InstanceState.Live);
 	});
--- a/src/core/manifest/common/manifest.ts
+++ b/src/core/manifest/common/manifest.ts
@@ -190,7 +190,7 @@
 export type ManifestClassLimits = ManifestService['classes'][RequestClass];
 
 /** One fault of a document, with its place as a path such as `services[2].rules[0].path`. */
-export interface DocumentFault {
+export interface ValidationIssue {
 	readonly place: string;
 	readonly problem: string;
 }
@@ -204,23 +204,23 @@
 	}, '');
 }
 
-function findDuplicateNames(place: string, names: readonly string[]): DocumentFault[] {
+function findDuplicateNames(place: string, names: readonly string[]): ValidationIssue[] {
 	const seen = new Set<string>();
-	const faults: DocumentFault[] = [];
+	const issues: ValidationIssue[] = [];
 	for (const [index, name] of names.entries()) {
 		if (seen.has(name)) {
-			faults.push({ place: `${place}[${index}]`, problem: `${name} stands twice` });
+			issues.push({ place: `${place}[${index}]`, problem: `${name} stands twice` });
 		}
 		seen.add(name);
 	}
-	return faults;
+	return issues;
 }
 
 function findUnknownName(
 	place: string,
 	name: string | undefined,
 	known: ReadonlySet<string>,
-): DocumentFault[] {
+): ValidationIssue[] {
 	if (name === undefined || known.has(name)) {
 		return [];
 	}
@@ -228,7 +228,7 @@
 }
 
 /** Checks what the schema cannot: that names are unique and that every reference leads somewhere. */
-function findReferenceFaults(manifest: Manifest): DocumentFault[] {
+function findReferenceIssues(manifest: Manifest): ValidationIssue[] {
 	const regions = new Set<string>(manifest.regions.map(region => region.name));
 	const models = new Set<string>(manifest.models.map(model => model.name));
 	const services = new Set<string>(manifest.services.map(service => service.name));
@@ -274,21 +274,21 @@
 }
 
 /** Checks a parsed JSON document; every fault is given, in the order of the document. */
-export function checkManifest(document: unknown): Result<Manifest, readonly DocumentFault[]> {
+export function checkManifest(document: unknown): Result<Manifest, readonly ValidationIssue[]> {
 	const parsed = manifestSchema.safeParse(document);
 	if (!parsed.success) {
-		const faults = parsed.error.issues.map(issue => ({
+		const issues = parsed.error.issues.map(issue => ({
 			place: formatPlace(issue.path),
 			problem: issue.message,
 		}));
-		return err(faults);
+		return err(issues);
 	}
-	const faults = findReferenceFaults(parsed.data);
+	const faults = findReferenceIssues(parsed.data);
 	return faults.length > 0 ? err(faults) : ok(parsed.data);
 }
 
 /** Parses and checks the text of a manifest. */
-export function parseManifest(text: string): Result<Manifest, readonly DocumentFault[]> {
+export function parseManifest(text: string): Result<Manifest, readonly ValidationIssue[]> {
 	try {
 		return checkManifest(JSON.parse(text));
 	} catch (error) {
--- a/src/core/manifest/common/manifestHolder.ts
+++ b/src/core/manifest/common/manifestHolder.ts
@@ -16,9 +16,9 @@
 import { Disposable } from '../../../base/common/lifecycle';
 import type { IAuditTrail } from '../../audit/common/auditTrail';
 import { AuditKind } from '../../audit/common/auditTrail';
-import { TypedChart, TypedWalk } from '../../charts/common/typedChart';
+import { TypedChart, TypedStateMachine } from '../../charts/common/typedChart';
 import type { ManifestVersion } from '../../ids/common/ids';
-import type { DocumentFault, Manifest } from './manifest';
+import type { ValidationIssue, Manifest } from './manifest';
 import { parseManifest } from './manifest';
 
 /** The life of one offered document. */
@@ -78,32 +78,32 @@
 	submit(offer: ManifestOffer): ManifestState;
 }
 
-interface ManifestLife {
-	readonly walk: TypedWalk<ManifestState, ManifestEvent>;
+interface HeldManifest {
+	readonly stateMachine: TypedStateMachine<ManifestState, ManifestEvent>;
 	readonly accepted: AcceptedManifest;
 }
 
 /** Faulty and conflicting documents remembered, so that a repeat costs no parse and no audit record. */
-const mostReported = 64;
+const maxReportedDocuments = 64;
 
 /** Faults written to the audit trail for one document; `anvilroadctl check` names them all. */
-const mostFaultsTold = 3;
+const maxRecordedIssues = 3;
 
 function formatVersion(version: number | undefined): string {
 	return version === undefined ? 'none' : `v${version}`;
 }
 
-function formatFaults(faults: readonly DocumentFault[]): string {
-	const told = faults.slice(0, mostFaultsTold).map(fault => `${fault.place} ${fault.problem}`.trim());
-	return `${faults.length} faults: ${told.join('; ')}`;
+function formatIssues(issues: readonly ValidationIssue[]): string {
+	const listed = issues.slice(0, maxRecordedIssues).map(issue => `${issue.place} ${issue.problem}`.trim());
+	return `${issues.length} faults: ${listed.join('; ')}`;
 }
 
 /** Holds the manifest in force. */
 export class ManifestHolder extends Disposable implements IManifestHolder {
 	private readonly channel = this.register(new Channel<AcceptedManifest>());
 	private readonly counts = new Map<ManifestState, number>();
-	private readonly reported = new Set<string>();
-	private current: ManifestLife | undefined;
+	private readonly reportedDocuments = new Set<string>();
+	private current: HeldManifest | undefined;
 
 	/** Each manifest that comes into force, once, in rising order of versions. */
 	readonly onDidAccept = this.channel.stream;
@@ -126,57 +126,65 @@
 
 	/** Takes a document that the platform or a peer gave, and says what became of it. */
 	submit(offer: ManifestOffer): ManifestState {
-		const walk = new TypedWalk(manifestChart);
-		const state = this.decide(walk, offer);
+		const stateMachine = new TypedStateMachine(manifestChart);
+		const state = this.decide(stateMachine, offer);
 		this.counts.set(state, this.countOffers(state) + 1);
 		return state;
 	}
 
-	private decide(walk: ManifestLife['walk'], offer: ManifestOffer): ManifestState {
+	private decide(stateMachine: HeldManifest['stateMachine'], offer: ManifestOffer): ManifestState {
 		const heldVersion = this.getCurrent()?.version;
 		if (heldVersion !== undefined && offer.version < heldVersion) {
-			return walk.send(ManifestEvent.Lower);
+			return stateMachine.send(ManifestEvent.Lower);
 		}
 		const digest = this.computeDigest(offer.document);
 		if (offer.version === heldVersion) {
-			return this.compareWithHeld(walk, offer, digest);
+			return this.compareWithCurrent(stateMachine, offer, digest);
 		}
-		if (this.reported.has(createReportKey(offer.version, digest))) {
-			return walk.send(ManifestEvent.Known);
+		if (this.reportedDocuments.has(createDocumentKey(offer.version, digest))) {
+			return stateMachine.send(ManifestEvent.Known);
 		}
-		walk.send(ManifestEvent.Higher);
-		return this.check(walk, offer, digest);
+		stateMachine.send(ManifestEvent.Higher);
+		return this.check(stateMachine, offer, digest);
 	}
 
-	private compareWithHeld(walk: ManifestLife['walk'], offer: ManifestOffer, digest: string): ManifestState {
+	private compareWithCurrent(
+		stateMachine: HeldManifest['stateMachine'],
+		offer: ManifestOffer,
+		digest: string,
+	): ManifestState {
 		if (digest === this.getCurrent()?.digest) {
-			return walk.send(ManifestEvent.Same);
+			return stateMachine.send(ManifestEvent.Same);
 		}
 		this.recordRefusal(offer, digest, `another document with the version in force, digest ${digest}`);
-		return walk.send(ManifestEvent.Conflict);
+		return stateMachine.send(ManifestEvent.Conflict);
 	}
 
-	private check(walk: ManifestLife['walk'], offer: ManifestOffer, digest: string): ManifestState {
+	private check(
+		stateMachine: HeldManifest['stateMachine'],
+		offer: ManifestOffer,
+		digest: string,
+	): ManifestState {
 		if (!Number.isSafeInteger(offer.version) || offer.version < 1) {
 			this.recordRefusal(offer, digest, 'the version is not a whole number above 0');
-			return walk.send(ManifestEvent.Fail);
+			return stateMachine.send(ManifestEvent.Fail);
 		}
 		const parsed = parseManifest(offer.document);
 		if (parsed.isErr()) {
-			this.recordRefusal(offer, digest, formatFaults(parsed.error));
-			return walk.send(ManifestEvent.Fail);
+			this.recordRefusal(offer, digest, formatIssues(parsed.error));
+			return stateMachine.send(ManifestEvent.Fail);
 		}
-		const state = walk.send(ManifestEvent.Pass);
-		this.putInForce({
-			walk,
+		const state = stateMachine.send(ManifestEvent.Pass);
+		this.setCurrent({
+			stateMachine,
 			accepted: { ...offer, version: offer.version as ManifestVersion, digest, manifest: parsed.value },
 		});
 		return state;
 	}
 
-	private putInForce(next: ManifestLife): void {
+	private setCurrent(next: HeldManifest): void {
 		const previous = this.current;
-		previous?.walk.send(ManifestEvent.Replace);
+		previous?.stateMachine.send(ManifestEvent.Replace);
 		this.current = next;
 		this.auditTrail.record({
 			kind: AuditKind.Manifest,
@@ -190,16 +198,16 @@
 	}
 
 	private recordRefusal(offer: ManifestOffer, digest: string, problem: string): void {
-		const key = createReportKey(offer.version, digest);
-		if (this.reported.has(key)) {
+		const key = createDocumentKey(offer.version, digest);
+		if (this.reportedDocuments.has(key)) {
 			return;
 		}
-		this.reported.add(key);
-		for (const oldest of this.reported) {
-			if (this.reported.size <= mostReported) {
+		this.reportedDocuments.add(key);
+		for (const oldest of this.reportedDocuments) {
+			if (this.reportedDocuments.size <= maxReportedDocuments) {
 				break;
 			}
-			this.reported.delete(oldest);
+			this.reportedDocuments.delete(oldest);
 		}
 		const held = this.getCurrent()?.version;
 		this.auditTrail.record({
@@ -213,6 +221,6 @@
 	}
 }
 
-function createReportKey(version: number, digest: string): string {
+function createDocumentKey(version: number, digest: string): string {
 	return `${version} ${digest}`;
 }
--- a/src/core/manifest/common/routes.ts
+++ b/src/core/manifest/common/routes.ts
@@ -17,8 +17,8 @@
 	Stream = 'stream',
 }
 
-const longestHost = 253;
-const mostAttempts = 100;
+const maxHostLength = 253;
+const maxAttempts = 100;
 
 const weightedServiceSchema = z.strictObject({
 	service: createNameSchema<ServiceName>(),
@@ -29,7 +29,7 @@
 export const routeSchema = z.strictObject({
 	name: createNameSchema<RouteName>(),
 	/** Matched without regard to case and without a port. */
-	host: z.string().min(1).max(longestHost).toLowerCase(),
+	host: z.string().min(1).max(maxHostLength).toLowerCase(),
 	/** The longest prefix of a host that begins a path selects the route. */
 	pathPrefix: z.string().regex(/^\/(.*\/)?$/, 'neither begins nor ends with a slash'),
 	kind: z.enum(RouteKind),
@@ -40,7 +40,7 @@
 	/** The longest pause between two events of a stream that a caller does not mind. */
 	longestGapMs: milliseconds.optional(),
 	/** Targets that one request may be sent to. */
-	attempts: z.number().int().positive().max(mostAttempts).default(1),
+	attempts: z.number().int().positive().max(maxAttempts).default(1),
 	/** 0 is the most urgent. */
 	priority: z.number().int().nonnegative().default(1),
 	/** Whether a stream that broke may go on at another target. */
--- a/src/core/manifest/common/schemas.ts
+++ b/src/core/manifest/common/schemas.ts
@@ -13,7 +13,7 @@
 		.transform(value => value as TName);
 }
 
-const longestMs = 86_400_000;
+const maxDurationMs = 86_400_000;
 
 /** A duration; a day at the most, since a longer one is a mistaken unit. */
-export const milliseconds = z.number().int().positive().max(longestMs);
+export const milliseconds = z.number().int().positive().max(maxDurationMs);
--- a/src/core/manifest/test/manifestHolder.test.ts
+++ b/src/core/manifest/test/manifestHolder.test.ts
@@ -33,7 +33,7 @@
 const isValid = (offer: ManifestOffer): boolean => offer.version > 0 && /"name":"[ab]"/.test(offer.document);
 
 /** What the property finds wrong with a holder, or undefined where it holds. */
-function findFault(Holder: typeof ManifestHolder): string | undefined {
+function findViolation(Holder: typeof ManifestHolder): string | undefined {
 	const property = fc.property(fc.array(anyOffer), offers => {
 		const { holder } = createHolder(Holder);
 		for (const [index, offer] of offers.entries()) {
@@ -70,11 +70,11 @@
 	// The platform is restored from a backup, a peer wakes with an old manifest, versions overtake each
 	// other. If the order of arrival counted, a withdrawn rule would be in force again.
 	it('holds the highest valid version that was ever offered, in any order', () => {
-		expect(findFault(ManifestHolder)).toBeUndefined();
+		expect(findViolation(ManifestHolder)).toBeUndefined();
 	});
 
 	it('is found wrong if the last arrival wins', () => {
-		expect(findFault(LastArrivalHolder)).toContain('in force instead of');
+		expect(findViolation(LastArrivalHolder)).toContain('in force instead of');
 	});
 
 	it('tells each accepted manifest once and records where it came from', () => {
--- a/src/core/platformClient/node/platformClient.ts
+++ b/src/core/platformClient/node/platformClient.ts
@@ -21,14 +21,14 @@
 }
 
 /** Why a read gave nothing. */
-export interface PlatformFault {
+export interface PlatformError {
 	readonly detail: string;
 	/** When the platform said to come back, in milliseconds from now. */
 	readonly retryAfterMs: number | undefined;
 }
 
 /** A read: a newer document, or undefined where none came in the time waited for. */
-export type PlatformRead<TValue> = Promise<Result<TValue | undefined, PlatformFault>>;
+export type PlatformRead<TValue> = Promise<Result<TValue | undefined, PlatformError>>;
 
 /** A versioned instance list. */
 export interface VersionedInstanceList extends InstanceList {
@@ -54,28 +54,28 @@
 const statusNotFound = 404;
 const statusTooManyRequests = 429;
 /** Documents that are followed by their versions. */
-type FollowedKind = PlatformReadKind.Manifest | PlatformReadKind.Instances;
+type DocumentKind = PlatformReadKind.Manifest | PlatformReadKind.Instances;
 
-const paths: Readonly<Record<FollowedKind, string>> = {
+const paths: Readonly<Record<DocumentKind, string>> = {
 	[PlatformReadKind.Manifest]: '/v1/config/manifest',
 	[PlatformReadKind.Instances]: '/v1/instances',
 };
 
 /** The platform over HTTP. */
 export class HttpPlatformClient implements IPlatformClient {
-	private readonly ends = new Channel<PlatformReadEnd>();
+	private readonly readEnds = new Channel<PlatformReadEnd>();
 
 	/** The end of each read; one that was given up by its caller is not told. */
-	readonly onDidEndRead: Stream<PlatformReadEnd> = this.ends.stream;
+	readonly onDidEndRead: Stream<PlatformReadEnd> = this.readEnds.stream;
 
 	private readonly agent: Agent;
 
-	/** @param answerMs How long an answer may take beyond the wait asked for; silence for longer is an outage. */
+	/** @param answerTimeoutMs How long an answer may take beyond the wait asked for; silence for longer is an outage. */
 	constructor(
 		private readonly origin: string,
-		private readonly answerMs: number,
+		private readonly answerTimeoutMs: number,
 	) {
-		this.agent = new Agent({ pipelining: 1, connect: { timeout: answerMs } });
+		this.agent = new Agent({ pipelining: 1, connect: { timeout: answerTimeoutMs } });
 	}
 
 	async readManifest(after: number, waitMs: number, signal: AbortSignal): PlatformRead<PlatformDocument> {
@@ -99,12 +99,12 @@
 	}
 
 	async close(): Promise<void> {
-		this.ends.dispose();
+		this.readEnds.dispose();
 		await this.agent.destroy();
 	}
 
 	private async read(
-		kind: FollowedKind,
+		kind: DocumentKind,
 		after: number,
 		waitMs: number,
 		signal: AbortSignal,
@@ -115,17 +115,17 @@
 				{
 					dispatcher: this.agent,
 					signal,
-					headersTimeout: waitMs + this.answerMs,
-					bodyTimeout: this.answerMs,
+					headersTimeout: waitMs + this.answerTimeoutMs,
+					bodyTimeout: this.answerTimeoutMs,
 				},
 			);
 			const bytes = new Uint8Array(await answer.body.arrayBuffer());
 			const read = readAnswer(answer.statusCode, answer.headers, bytes);
-			this.ends.emit({ kind, result: describeResult(answer.statusCode, read) });
+			this.readEnds.emit({ kind, result: describeResult(answer.statusCode, read) });
 			return read;
 		} catch (error) {
 			if (!signal.aborted) {
-				this.ends.emit({ kind, result: ReadResult.Failed });
+				this.readEnds.emit({ kind, result: ReadResult.Failed });
 			}
 			return err({ detail: error instanceof Error ? error.message : String(error), retryAfterMs: undefined });
 		}
@@ -134,7 +134,7 @@
 
 function describeResult(
 	status: number,
-	read: Result<PlatformDocument | undefined, PlatformFault>,
+	read: Result<PlatformDocument | undefined, PlatformError>,
 ): ReadResult {
 	if (status === statusTooManyRequests) {
 		return ReadResult.Refused;
@@ -149,7 +149,7 @@
 	status: number,
 	answerHeaders: Record<string, string | string[] | undefined>,
 	bytes: Uint8Array,
-): Result<PlatformDocument | undefined, PlatformFault> {
+): Result<PlatformDocument | undefined, PlatformError> {
 	if (status === statusNotModified || status === statusNotFound) {
 		return ok(undefined);
 	}
--- a/src/core/platformClient/test/platformClient.test.ts
+++ b/src/core/platformClient/test/platformClient.test.ts
@@ -46,8 +46,8 @@
 			`http://127.0.0.1:${(server.address() as AddressInfo).port}`,
 			3_000,
 		);
-		const told: string[] = [];
-		subscribeTo(client.onDidEndRead, ({ kind, result }) => told.push(`${kind} ${result}`));
+		const results: string[] = [];
+		subscribeTo(client.onDidEndRead, ({ kind, result }) => results.push(`${kind} ${result}`));
 		const { signal } = new AbortController();
 		for (let left = answers.length; left > 0; left--) {
 			await client.readManifest(0, 0, signal);
@@ -57,7 +57,7 @@
 		await client.readInstances(0, 0, signal);
 		await client.readManifest(0, 0, AbortSignal.abort());
 		await client.close();
-		expect(told).toEqual([
+		expect(results).toEqual([
 			'manifest fresh',
 			'manifest unchanged',
 			'manifest refused',
--- a/src/core/store/common/storeClient.ts
+++ b/src/core/store/common/storeClient.ts
@@ -38,14 +38,14 @@
 }
 
 /** What changed below a prefix, in the order of the changes. */
-export interface StoreNews {
+export interface StoreWatchResult {
 	readonly changes: readonly StoreChange[];
 	/** Where the next watch goes on. */
 	readonly revision: number;
 	readonly era?: StoreEra | undefined;
 }
 
-export enum StoreFaultKind {
+export enum StoreErrorKind {
 	/** No answer, or none that can be read. */
 	Unreachable = 'unreachable',
 	/** The store answered that it does not serve the call now. */
@@ -59,8 +59,8 @@
 }
 
 /** Why a call gave nothing. */
-export interface StoreFault {
-	readonly kind: StoreFaultKind;
+export interface StoreError {
+	readonly kind: StoreErrorKind;
 	/** For people. */
 	readonly detail: string;
 	readonly era?: StoreEra | undefined;
@@ -73,13 +73,13 @@
 		prefix: string,
 		afterKey: string | undefined,
 		signal: AbortSignal,
-	): Promise<Result<StorePage, StoreFault>>;
+	): Promise<Result<StorePage, StoreError>>;
 	/** Waits up to `waitMs` for a change below a prefix after a revision. */
 	watch(
 		prefix: string,
 		afterRevision: number,
 		waitMs: number,
 		signal: AbortSignal,
-	): Promise<Result<StoreNews, StoreFault>>;
+	): Promise<Result<StoreWatchResult, StoreError>>;
 	close(): Promise<void>;
 }
--- a/src/core/store/common/storeFollower.ts
+++ b/src/core/store/common/storeFollower.ts
@@ -21,10 +21,10 @@
 import type { IRandom } from '../../../base/common/random';
 import type { ITimerService } from '../../../base/common/timerService';
 import { waitFor } from '../../../base/common/waitFor';
-import type { WatchFigures } from '../../following/common/watchPace';
-import { planWatch, WatchPace } from '../../following/common/watchPace';
-import type { IStoreClient, StoreEra, StoreFault, StoreItem, StorePage } from './storeClient';
-import { StoreFaultKind } from './storeClient';
+import type { WatchTimings } from '../../following/common/watchBackoff';
+import { computeWatchTimings, WatchBackoff } from '../../following/common/watchBackoff';
+import type { IStoreClient, StoreEra, StoreError, StoreItem, StorePage } from './storeClient';
+import { StoreErrorKind } from './storeClient';
 import type { MirrorChange } from './storeMirror';
 import { StoreMirror } from './storeMirror';
 
@@ -39,7 +39,7 @@
 }
 
 /** The store was lost or is back. */
-export interface StoreReach {
+export interface StoreReachability {
 	readonly isReached: boolean;
 	/** Why it was lost. */
 	readonly detail: string;
@@ -72,54 +72,54 @@
 	readonly waitMs: number;
 	readonly tookMs: number;
 	/** It was answered with items or changes. */
-	readonly hasNews: boolean;
+	readonly hasData: boolean;
 	/** Why it gave nothing, or undefined for an answer. */
-	readonly fault: StoreFault | undefined;
+	readonly fault: StoreError | undefined;
 	readonly era: StoreEra | undefined;
 }
 
 /** Calls that fail for less than this are no outage: entries do not lapse in it. */
-const outageMs = 1_000;
+const minOutageMs = 1_000;
 
 /** How long after an outage its traces may last. */
-const settleMs = 2_500;
+const recoveryGraceMs = 2_500;
 
 /** Emits the changes of one prefix until disposed of. */
 export class StoreFollower extends Disposable {
 	private readonly abort = new AbortController();
 	private readonly mirror = new StoreMirror();
 	private readonly changes = this.register(new Channel<FollowedChange>());
-	private readonly reaches = this.register(new Channel<StoreReach>());
+	private readonly reachabilityChanges = this.register(new Channel<StoreReachability>());
 	private readonly callEnds = this.register(new Channel<StoreCallEnd>());
 	private readonly restores = this.register(new Channel<StoreRestore>());
-	private readonly figures: WatchFigures;
-	private readonly pace: WatchPace;
-	private hanging: AbortController | undefined;
+	private readonly timings: WatchTimings;
+	private readonly backoff: WatchBackoff;
+	private currentCall: AbortController | undefined;
 	/** Those who wait for the next read to end. */
-	private readonly refreshing: (() => void)[] = [];
+	private readonly pendingRefreshes: (() => void)[] = [];
 	private era: StoreEra | undefined;
 	/** Number of restores detected; a listing during which it changes is restarted, a failed read repeated at once. */
 	private restoreCount = 0;
-	private reachedMs: number | undefined;
-	private lostMs: number | undefined;
-	private regainedMs = Number.NEGATIVE_INFINITY;
+	private lastAnswerMs: number | undefined;
+	private unreachableSinceMs: number | undefined;
+	private recoveredMs = Number.NEGATIVE_INFINITY;
 
 	readonly onDidChange: Stream<FollowedChange> = this.changes.stream;
-	readonly onDidChangeReach: Stream<StoreReach> = this.reaches.stream;
+	readonly onDidChangeReachability: Stream<StoreReachability> = this.reachabilityChanges.stream;
 	readonly onDidEndCall: Stream<StoreCallEnd> = this.callEnds.stream;
 	readonly onDidRestore: Stream<StoreRestore> = this.restores.stream;
 
-	/** @param newsWithinMs By how many milliseconds a change may be late once the store answers. */
+	/** @param maxDelayMs By how many milliseconds a change may be late once the store answers. */
 	constructor(
 		private readonly prefix: string,
 		private readonly client: IStoreClient,
 		private readonly timers: ITimerService,
 		random: IRandom,
-		newsWithinMs: number,
+		maxDelayMs: number,
 	) {
 		super();
-		this.figures = planWatch(newsWithinMs);
-		this.pace = new WatchPace(this.figures, random);
+		this.timings = computeWatchTimings(maxDelayMs);
+		this.backoff = new WatchBackoff(this.timings, random);
 		this.register(
 			toDisposable(() => {
 				this.abort.abort();
@@ -135,8 +135,8 @@
 	}
 
 	/** Milliseconds since the store last answered, or undefined before the first answer. */
-	getSilenceMs(): number | undefined {
-		return this.reachedMs === undefined ? undefined : this.timers.getNow() - this.reachedMs;
+	getTimeSinceAnswerMs(): number | undefined {
+		return this.lastAnswerMs === undefined ? undefined : this.timers.getNow() - this.lastAnswerMs;
 	}
 
 	/**
@@ -144,10 +144,10 @@
 	 * a sleep the call that hangs may be on a connection that is long gone.
 	 */
 	async refresh(): Promise<void> {
-		this.pace.noteDoubted();
+		this.backoff.markStale();
 		await new Promise<void>(resolve => {
-			this.refreshing.push(resolve);
-			this.hanging?.abort();
+			this.pendingRefreshes.push(resolve);
+			this.currentCall?.abort();
 		});
 	}
 
@@ -157,83 +157,83 @@
 	}
 
 	/** Takes the era seen by another follower of the same store; if it is higher than the known one, lists again. */
-	noteEra(era: StoreEra): void {
+	updateEra(era: StoreEra): void {
 		if (this.era !== undefined && era > this.era) {
-			this.noteRestored(era, undefined);
-			this.hanging?.abort();
+			this.handleRestore(era, undefined);
+			this.currentCall?.abort();
 		}
 	}
 
 	private async readOnce(): Promise<void> {
-		const refreshing = this.refreshing.splice(0);
-		await this.readAndTell();
-		for (const resolve of refreshing) {
+		const refreshes = this.pendingRefreshes.splice(0);
+		await this.readAndEmit();
+		for (const resolve of refreshes) {
 			resolve();
 		}
 	}
 
-	private async readAndTell(): Promise<void> {
+	private async readAndEmit(): Promise<void> {
 		const { restoreCount } = this;
 		const read = this.mirror.revision === 0 ? await this.listAll() : await this.watchOnce();
 		const isRestored = restoreCount !== this.restoreCount;
-		if (this.abort.signal.aborted || (read.isErr() && (isRestored || this.refreshing.length > 0))) {
+		if (this.abort.signal.aborted || (read.isErr() && (isRestored || this.pendingRefreshes.length > 0))) {
 			return;
 		}
 		if (read.isErr()) {
-			this.noteFault(read.error);
-			await waitFor(this.timers, this.pace.computePauseMs(), this.abort.signal);
+			this.recordFailure(read.error);
+			await waitFor(this.timers, this.backoff.computePauseMs(), this.abort.signal);
 			return;
 		}
-		this.noteReached();
+		this.recordAnswer();
 		if (read.value.written.length > 0 || read.value.removed.length > 0) {
 			const nowMs = this.timers.getNow();
 			this.changes.emit({
 				...read.value,
 				revision: this.mirror.revision,
-				isAfterOutage: nowMs - this.regainedMs < settleMs,
+				isAfterOutage: nowMs - this.recoveredMs < recoveryGraceMs,
 			});
 		}
 	}
 
-	private async watchOnce(): Promise<Result<MirrorChange, StoreFault>> {
-		const { leastPauseMs } = this.figures;
-		const waitMs = this.pace.planWaitMs();
+	private async watchOnce(): Promise<Result<MirrorChange, StoreError>> {
+		const { minPauseMs } = this.timings;
+		const waitMs = this.backoff.computeWaitMs();
 		const startedMs = this.timers.getNow();
-		const news = await this.fetchWithin(
+		const result = await this.fetchWithTimeout(
 			StoreCallKind.Watch,
 			waitMs,
 			signal => this.client.watch(this.prefix, this.mirror.revision, waitMs, signal),
 			({ changes }) => changes.length > 0,
 		);
-		if (news.isErr() && news.error.kind === StoreFaultKind.HistoryGone) {
+		if (result.isErr() && result.error.kind === StoreErrorKind.HistoryGone) {
 			return this.listAll();
 		}
-		const isEmpty = news.isOk() && news.value.changes.length === 0;
-		if (isEmpty && waitMs > 0 && this.timers.getNow() - startedMs < leastPauseMs) {
+		const isEmpty = result.isOk() && result.value.changes.length === 0;
+		if (isEmpty && waitMs > 0 && this.timers.getNow() - startedMs < minPauseMs) {
 			// A store that ends a waiting watch at once must not be asked again in a tight loop.
-			await waitFor(this.timers, leastPauseMs, this.abort.signal);
+			await waitFor(this.timers, minPauseMs, this.abort.signal);
 		}
-		return news.map(value => this.mirror.apply(value));
+		return result.map(value => this.mirror.apply(value));
 	}
 
-	private async listAll(): Promise<Result<MirrorChange, StoreFault>> {
+	private async listAll(): Promise<Result<MirrorChange, StoreError>> {
 		const items: StoreItem[] = [];
 		const { restoreCount } = this;
 		let revision: number | undefined;
 		for (;;) {
 			const afterKey = items.at(-1)?.key;
-			const page = await this.fetchWithin(
+			const page = await this.fetchWithTimeout(
 				StoreCallKind.List,
 				0,
 				signal => this.client.list(this.prefix, afterKey, signal),
-				({ items: found }) => found.length > 0,
+				({ items: listed }) => listed.length > 0,
 			);
 			if (page.isErr()) {
 				return err(page.error);
 			}
 			if (restoreCount !== this.restoreCount) {
 				return err({
-					kind: StoreFaultKind.Restored,
+					kind: StoreErrorKind.Restored,
 					detail: 'store restored between two pages of a listing',
 				});
 			}
@@ -246,41 +246,41 @@
 	}
 
 	/** A call that is given up when it takes longer than its wait and the margin. */
-	private async fetchWithin<TValue extends Partial<Pick<StorePage, 'revision' | 'era'>>>(
+	private async fetchWithTimeout<TValue extends Partial<Pick<StorePage, 'revision' | 'era'>>>(
 		call: StoreCallKind,
 		waitMs: number,
-		fetch: (signal: AbortSignal) => Promise<Result<TValue, StoreFault>>,
-		hasNews: (answer: TValue) => boolean,
-	): Promise<Result<TValue, StoreFault>> {
+		fetch: (signal: AbortSignal) => Promise<Result<TValue, StoreError>>,
+		hasData: (answer: TValue) => boolean,
+	): Promise<Result<TValue, StoreError>> {
 		const startedMs = this.timers.getNow();
 		const heldRevision = this.mirror.revision;
-		const limit = new AbortController();
-		this.hanging = limit;
-		const timer = this.timers.schedule(waitMs + this.figures.answerMs, () => {
-			limit.abort();
+		const callController = new AbortController();
+		this.currentCall = callController;
+		const timer = this.timers.schedule(waitMs + this.timings.answerTimeoutMs, () => {
+			callController.abort();
 		});
 		try {
-			const answer = await fetch(AbortSignal.any([this.abort.signal, limit.signal]));
+			const answer = await fetch(AbortSignal.any([this.abort.signal, callController.signal]));
 			this.callEnds.emit({
 				call,
 				heldRevision,
 				waitMs,
 				tookMs: this.timers.getNow() - startedMs,
-				hasNews: answer.isOk() && hasNews(answer.value),
+				hasData: answer.isOk() && hasData(answer.value),
 				fault: answer.isErr() ? answer.error : undefined,
 				era: getEra(answer),
 			});
 			return this.checkEra(answer);
 		} finally {
-			this.hanging = undefined;
+			this.currentCall = undefined;
 			timer.dispose();
 		}
 	}
 
 	/** Returns a fault for the first answer of a higher era and for every answer of a lower era. */
 	private checkEra<TValue extends Partial<Pick<StorePage, 'revision' | 'era'>>>(
-		answer: Result<TValue, StoreFault>,
-	): Result<TValue, StoreFault> {
+		answer: Result<TValue, StoreError>,
+	): Result<TValue, StoreError> {
 		const era = getEra(answer);
 		if (era === undefined || era === this.era) {
 			return answer;
@@ -291,47 +291,47 @@
 		}
 		if (era < this.era) {
 			const detail = `answer of era ${era} received after era ${this.era}`;
-			return err({ kind: StoreFaultKind.Outdated, detail });
+			return err({ kind: StoreErrorKind.Outdated, detail });
 		}
-		this.noteRestored(era, answer.isOk() ? answer.value.revision : undefined);
-		return err({ kind: StoreFaultKind.Restored, detail: `store restored, era is now ${era}` });
+		this.handleRestore(era, answer.isOk() ? answer.value.revision : undefined);
+		return err({ kind: StoreErrorKind.Restored, detail: `store restored, era is now ${era}` });
 	}
 
-	private noteRestored(toEra: StoreEra, foundRevision: number | undefined): void {
+	private handleRestore(toEra: StoreEra, foundRevision: number | undefined): void {
 		const fromEra = this.era ?? toEra;
 		const heldRevision = this.mirror.revision;
 		this.era = toEra;
 		this.restoreCount++;
-		this.regainedMs = this.timers.getNow();
-		this.mirror.noteRestored();
+		this.recoveredMs = this.timers.getNow();
+		this.mirror.markRestored();
 		this.restores.emit({ fromEra, toEra, heldRevision, foundRevision });
 	}
 
-	private noteFault({ detail }: StoreFault): void {
-		this.pace.noteFailed();
-		if (this.lostMs !== undefined) {
+	private recordFailure({ detail }: StoreError): void {
+		this.backoff.recordFailure();
+		if (this.unreachableSinceMs !== undefined) {
 			return;
 		}
-		this.lostMs = this.timers.getNow();
-		this.reaches.emit({ isReached: false, detail, awayMs: 0 });
+		this.unreachableSinceMs = this.timers.getNow();
+		this.reachabilityChanges.emit({ isReached: false, detail, awayMs: 0 });
 	}
 
-	private noteReached(): void {
+	private recordAnswer(): void {
 		const nowMs = this.timers.getNow();
-		this.pace.noteAnswered();
-		this.reachedMs = nowMs;
-		if (this.lostMs === undefined) {
+		this.backoff.recordAnswer();
+		this.lastAnswerMs = nowMs;
+		if (this.unreachableSinceMs === undefined) {
 			return;
 		}
-		const awayMs = nowMs - this.lostMs;
-		this.lostMs = undefined;
-		if (awayMs >= outageMs) {
-			this.regainedMs = nowMs;
+		const awayMs = nowMs - this.unreachableSinceMs;
+		this.unreachableSinceMs = undefined;
+		if (awayMs >= minOutageMs) {
+			this.recoveredMs = nowMs;
 		}
-		this.reaches.emit({ isReached: true, detail: '', awayMs });
+		this.reachabilityChanges.emit({ isReached: true, detail: '', awayMs });
 	}
 }
 
-function getEra(answer: Result<{ readonly era?: StoreEra | undefined }, StoreFault>): StoreEra | undefined {
+function getEra(answer: Result<{ readonly era?: StoreEra | undefined }, StoreError>): StoreEra | undefined {
 	return answer.isOk() ? answer.value.era : answer.error.era;
 }
--- a/src/core/store/common/storeMirror.ts
+++ b/src/core/store/common/storeMirror.ts
@@ -9,7 +9,7 @@
  * therefore reported as written.
  */
 
-import type { StoreChange, StoreItem, StoreNews } from './storeClient';
+import type { StoreChange, StoreItem, StoreWatchResult } from './storeClient';
 import { StoreChangeKind } from './storeClient';
 
 /** What changed, each key once. */
@@ -23,17 +23,17 @@
 /** Holds the items of one prefix. */
 export class StoreMirror {
 	private items = new Map<string, StoreItem>();
-	private upToRevision = 0;
+	private heldRevision = 0;
 	private isRestored = false;
 
 	/** The revision up to which all changes are held; 0 before the first listing. */
 	get revision(): number {
-		return this.upToRevision;
+		return this.heldRevision;
 	}
 
 	/** Discards the revision, which is not valid after a restore; the items are kept until the next listing. */
-	noteRestored(): void {
-		this.upToRevision = 0;
+	markRestored(): void {
+		this.heldRevision = 0;
 		this.isRestored = true;
 	}
 
@@ -43,7 +43,7 @@
 		const { isRestored } = this;
 		this.isRestored = false;
 		this.items = new Map(items.map(item => [item.key, item]));
-		this.upToRevision = revision;
+		this.heldRevision = revision;
 		return {
 			written: items.filter(item => isRestored || before.get(item.key)?.revision !== item.revision),
 			removed: [...before.keys()].filter(key => !this.items.has(key)),
@@ -52,15 +52,15 @@
 	}
 
 	/** Changes that a watch brought. */
-	apply(news: StoreNews): MirrorChange {
+	apply(result: StoreWatchResult): MirrorChange {
 		const touched = new Set<string>();
-		for (const change of news.changes) {
+		for (const change of result.changes) {
 			const key = this.applyOne(change);
 			if (key !== undefined) {
 				touched.add(key);
 			}
 		}
-		this.upToRevision = Math.max(this.upToRevision, news.revision);
+		this.heldRevision = Math.max(this.heldRevision, result.revision);
 		const present = [...touched].map(key => this.items.get(key)).filter(item => item !== undefined);
 		return {
 			written: present,
@@ -72,8 +72,8 @@
 	/** Gives the key where the change is news. */
 	private applyOne(change: StoreChange): string | undefined {
 		if (change.kind === StoreChangeKind.Removed) {
-			const isNews = change.revision > this.getRevision(change.key) && this.items.delete(change.key);
-			return isNews ? change.key : undefined;
+			const isNewer = change.revision > this.getRevision(change.key) && this.items.delete(change.key);
+			return isNewer ? change.key : undefined;
 		}
 		const { item } = change;
 		if (item.revision <= this.getRevision(item.key)) {
--- a/src/core/store/test/modelStore.ts
+++ b/src/core/store/test/modelStore.ts
@@ -8,12 +8,12 @@
 import type {
 	IStoreClient,
 	StoreChange,
-	StoreFault,
+	StoreError,
 	StoreItem,
-	StoreNews,
+	StoreWatchResult,
 	StorePage,
 } from '../common/storeClient';
-import { StoreChangeKind, StoreFaultKind } from '../common/storeClient';
+import { StoreChangeKind, StoreErrorKind } from '../common/storeClient';
 
 /** Items and revision of a store at one point in time. */
 export interface ModelStoreCopy {
@@ -24,7 +24,7 @@
 interface OpenWatch {
 	readonly prefix: string;
 	readonly after: number;
-	readonly resolve: (answer: Result<StoreNews, StoreFault>) => void;
+	readonly resolve: (answer: Result<StoreWatchResult, StoreError>) => void;
 }
 
 const pageItems = 2;
@@ -35,7 +35,7 @@
 	includesEra = true;
 	private items = new Map<string, StoreItem>();
 	private history: StoreChange[] = [];
-	private forgottenUpTo = 0;
+	private oldestWatchRevision = 0;
 	private revision = 1;
 	private era = 1;
 	private watches: OpenWatch[] = [];
@@ -70,10 +70,10 @@
 		this.era++;
 		this.items = new Map(items);
 		this.revision = revision;
-		this.forgottenUpTo = revision;
+		this.oldestWatchRevision = revision;
 		this.history = [];
 		for (const { resolve } of this.watches.splice(0)) {
-			resolve(err({ kind: StoreFaultKind.Unreachable, detail: 'connection reset' }));
+			resolve(err({ kind: StoreErrorKind.Unreachable, detail: 'connection reset' }));
 		}
 	}
 
@@ -81,7 +81,7 @@
 		prefix: string,
 		afterKey: string | undefined,
 		signal: AbortSignal,
-	): Promise<Result<StorePage, StoreFault>> {
+	): Promise<Result<StorePage, StoreError>> {
 		return this.answerLater(signal, () => {
 			const found = [...this.items.values()]
 				.filter(({ key }) => key.startsWith(prefix) && key > (afterKey ?? ''))
@@ -100,18 +100,18 @@
 		after: number,
 		waitMs: number,
 		signal: AbortSignal,
-	): Promise<Result<StoreNews, StoreFault>> {
-		return this.answerLater<StoreNews>(signal, resolve => {
-			if (after < this.forgottenUpTo || after > this.revision) {
+	): Promise<Result<StoreWatchResult, StoreError>> {
+		return this.answerLater<StoreWatchResult>(signal, resolve => {
+			if (after < this.oldestWatchRevision || after > this.revision) {
 				return err({
-					kind: StoreFaultKind.HistoryGone,
+					kind: StoreErrorKind.HistoryGone,
 					detail: 'history no longer kept',
 					era: this.getAnswerEra(),
 				});
 			}
 			const watch = { prefix, after, resolve };
 			if (waitMs === 0 || this.listChanges(watch).length > 0) {
-				return this.createNews(watch);
+				return this.createWatchResult(watch);
 			}
 			this.watches.push(watch);
 			this.timers.schedule(waitMs, () => {
@@ -135,11 +135,11 @@
 	private answerWatch(watch: OpenWatch): void {
 		if (this.watches.includes(watch)) {
 			this.watches = this.watches.filter(open => open !== watch);
-			watch.resolve(this.createNews(watch));
+			watch.resolve(this.createWatchResult(watch));
 		}
 	}
 
-	private createNews(watch: OpenWatch): Result<StoreNews, StoreFault> {
+	private createWatchResult(watch: OpenWatch): Result<StoreWatchResult, StoreError> {
 		return ok({ changes: this.listChanges(watch), revision: this.revision, era: this.getAnswerEra() });
 	}
 
@@ -158,12 +158,12 @@
 	private async answerLater<TValue>(
 		signal: AbortSignal,
 		computeAnswer: (
-			resolve: (answer: Result<TValue, StoreFault>) => void,
-		) => Result<TValue, StoreFault> | undefined,
-	): Promise<Result<TValue, StoreFault>> {
+			resolve: (answer: Result<TValue, StoreError>) => void,
+		) => Result<TValue, StoreError> | undefined,
+	): Promise<Result<TValue, StoreError>> {
 		return new Promise(resolve => {
 			signal.addEventListener('abort', () => {
-				resolve(err({ kind: StoreFaultKind.Unreachable, detail: 'call aborted' }));
+				resolve(err({ kind: StoreErrorKind.Unreachable, detail: 'call aborted' }));
 			});
 			this.timers.schedule(answerDelayMs, () => {
 				const answer = computeAnswer(resolve);
--- a/src/core/store/test/storeFollower.test.ts
+++ b/src/core/store/test/storeFollower.test.ts
@@ -6,17 +6,17 @@
 import type {
 	IStoreClient,
 	StoreChange,
-	StoreFault,
+	StoreError,
 	StoreItem,
-	StoreNews,
+	StoreWatchResult,
 	StorePage,
 } from '../common/storeClient';
-import { StoreChangeKind, StoreFaultKind } from '../common/storeClient';
-import type { FollowedChange, StoreCallEnd, StoreReach } from '../common/storeFollower';
+import { StoreChangeKind, StoreErrorKind } from '../common/storeClient';
+import type { FollowedChange, StoreCallEnd, StoreReachability } from '../common/storeFollower';
 import { StoreCallKind, StoreFollower } from '../common/storeFollower';
 import { StoreMirror } from '../common/storeMirror';
 
-const newsWithinMs = 5_000;
+const maxDelayMs = 5_000;
 
 function createItem(key: string, revision: number): StoreItem {
 	return { key, value: Buffer.from(key), revision };
@@ -30,7 +30,7 @@
 	return { kind: StoreChangeKind.Removed, key, revision };
 }
 
-type Answer<TValue> = Result<TValue, StoreFault>;
+type Answer<TValue> = Result<TValue, StoreError>;
 
 /** A store that answers each call when the test says so. */
 class ScriptedStore implements IStoreClient {
@@ -41,7 +41,12 @@
 		return this.open(`list ${prefix} after ${afterKey ?? 'nothing'}`, signal);
 	}
 
-	watch(prefix: string, after: number, _waitMs: number, signal: AbortSignal): Promise<Answer<StoreNews>> {
+	watch(
+		prefix: string,
+		after: number,
+		_waitMs: number,
+		signal: AbortSignal,
+	): Promise<Answer<StoreWatchResult>> {
 		return this.open(`watch ${prefix} after ${after}`, signal);
 	}
 
@@ -49,12 +54,12 @@
 		return Promise.resolve();
 	}
 
-	async answer(value: StorePage | StoreNews): Promise<void> {
+	async answer(value: StorePage | StoreWatchResult): Promise<void> {
 		this.answers.shift()?.(ok(value) as unknown as Answer<never>);
 		await waitForPromises();
 	}
 
-	async fail(kind: StoreFaultKind): Promise<void> {
+	async fail(kind: StoreErrorKind): Promise<void> {
 		this.answers.shift()?.(err({ kind, detail: 'as the test says' }));
 		await waitForPromises();
 	}
@@ -66,7 +71,7 @@
 			this.answers.push(answer);
 			signal.addEventListener('abort', () => {
 				this.answers.splice(this.answers.indexOf(answer), 1);
-				resolve(err({ kind: StoreFaultKind.Unreachable, detail: 'given up' }));
+				resolve(err({ kind: StoreErrorKind.Unreachable, detail: 'given up' }));
 			});
 		});
 	}
@@ -83,7 +88,7 @@
 	readonly store: ScriptedStore;
 	readonly timers: ManualTimerService;
 	readonly changes: FollowedChange[];
-	readonly reaches: StoreReach[];
+	readonly reachabilityChanges: StoreReachability[];
 	readonly callEnds: StoreCallEnd[];
 	advance(ms: number): Promise<void>;
 	stop(): void;
@@ -92,12 +97,12 @@
 async function startFollowing(): Promise<Following> {
 	const store = new ScriptedStore();
 	const timers = new ManualTimerService();
-	const follower = new StoreFollower('servers/', store, timers, new SeededRandom(1), newsWithinMs);
+	const follower = new StoreFollower('servers/', store, timers, new SeededRandom(1), maxDelayMs);
 	const changes: FollowedChange[] = [];
-	const reaches: StoreReach[] = [];
+	const reachabilityChanges: StoreReachability[] = [];
 	const callEnds: StoreCallEnd[] = [];
 	subscribeTo(follower.onDidChange, change => changes.push(change));
-	subscribeTo(follower.onDidChangeReach, reach => reaches.push(reach));
+	subscribeTo(follower.onDidChangeReachability, reach => reachabilityChanges.push(reach));
 	subscribeTo(follower.onDidEndCall, end => callEnds.push(end));
 	void follower.follow();
 	await waitForPromises();
@@ -106,7 +111,7 @@
 		store,
 		timers,
 		changes,
-		reaches,
+		reachabilityChanges,
 		callEnds,
 		advance: async ms => {
 			timers.advance(ms);
@@ -155,7 +160,7 @@
 	it('lists anew when the history is gone', async () => {
 		const { store, changes, stop } = await startFollowing();
 		await store.answer({ items: [createItem('servers/a', 3)], hasMore: false, revision: 4 });
-		await store.fail(StoreFaultKind.HistoryGone);
+		await store.fail(StoreErrorKind.HistoryGone);
 		await store.answer({ items: [createItem('servers/b', 9)], hasMore: false, revision: 9 });
 		expect(changes.at(-1)).toMatchObject({ removed: ['servers/a'], revision: 9, isAfterOutage: false });
 		expect(store.calls.at(-1)).toBe('watch servers/ after 9');
@@ -165,27 +170,27 @@
 	// A connection falls silent for good: the watch neither ends nor fails. Waited for without an end, a target
 	// that leaves would go on getting requests.
 	it('gives up a watch that outlives its wait, and asks again', async () => {
-		const { store, advance, reaches, stop } = await startFollowing();
+		const { store, advance, reachabilityChanges, stop } = await startFollowing();
 		await store.answer({ items: [createItem('servers/a', 3)], hasMore: false, revision: 4 });
 		await advance(7_000);
 		await advance(2_000);
 		expect(store.calls.filter(call => call.startsWith('watch'))).toHaveLength(2);
-		expect(reaches.map(({ isReached }) => isReached)).toEqual([false]);
+		expect(reachabilityChanges.map(({ isReached }) => isReached)).toEqual([false]);
 		stop();
 	});
 
 	// The store is away for seconds, and registrations lapse meanwhile. What is read first on its return must be
 	// told as such, or each return empties a region.
 	it('marks what it reads just after an outage', async () => {
-		const { store, advance, changes, reaches, stop } = await startFollowing();
+		const { store, advance, changes, reachabilityChanges, stop } = await startFollowing();
 		await store.answer({ items: [createItem('servers/a', 3)], hasMore: false, revision: 4 });
-		await store.fail(StoreFaultKind.Refused);
+		await store.fail(StoreErrorKind.Refused);
 		await advance(1_500);
-		await store.fail(StoreFaultKind.Refused);
+		await store.fail(StoreErrorKind.Refused);
 		await advance(1_500);
 		await store.answer({ changes: [createRemoval('servers/a', 6)], revision: 6 });
 		expect(changes.at(-1)).toMatchObject({ removed: ['servers/a'], isAfterOutage: true });
-		expect(reaches.map(({ isReached }) => isReached)).toEqual([false, true]);
+		expect(reachabilityChanges.map(({ isReached }) => isReached)).toEqual([false, true]);
 		stop();
 	});
 
@@ -195,14 +200,14 @@
 		const { store, advance, callEnds, stop } = await startFollowing();
 		await store.answer({ items: [createItem('servers/a', 3)], hasMore: false, revision: 4 });
 		await advance(300);
-		await store.fail(StoreFaultKind.Refused);
+		await store.fail(StoreErrorKind.Refused);
 		expect(callEnds).toMatchObject([
-			{ call: StoreCallKind.List, heldRevision: 0, waitMs: 0, tookMs: 0, hasNews: true, fault: undefined },
+			{ call: StoreCallKind.List, heldRevision: 0, waitMs: 0, tookMs: 0, hasData: true, fault: undefined },
 			{
 				call: StoreCallKind.Watch,
 				heldRevision: 4,
 				tookMs: 300,
-				fault: { kind: StoreFaultKind.Refused },
+				fault: { kind: StoreErrorKind.Refused },
 			},
 		]);
 		stop();
@@ -211,7 +216,7 @@
 	// A process is frozen for some seconds, and the connection on which its watch hangs is gone when it wakes. Left
 	// hanging, it holds the first requests for state that never comes, and serves on by what was true before.
 	it('asks anew in place of hanging on, and tells when it knows', async () => {
-		const { store, follower, changes, reaches, stop } = await startFollowing();
+		const { store, follower, changes, reachabilityChanges, stop } = await startFollowing();
 		await store.answer({ items: [createItem('servers/a', 3)], hasMore: false, revision: 4 });
 		let isRefreshed = false;
 		void follower.refresh().then(() => {
@@ -223,13 +228,13 @@
 		await store.answer({ changes: [createRemoval('servers/a', 6)], revision: 6 });
 		expect(isRefreshed).toBe(true);
 		expect(changes.at(-1)).toMatchObject({ removed: ['servers/a'] });
-		expect(reaches).toEqual([]);
+		expect(reachabilityChanges).toEqual([]);
 		stop();
 	});
 
 	it('pauses between calls that fail', async () => {
 		const { store, advance, stop } = await startFollowing();
-		await store.fail(StoreFaultKind.Unreachable);
+		await store.fail(StoreErrorKind.Unreachable);
 		expect(store.calls).toHaveLength(1);
 		await advance(1_200);
 		expect(store.calls).toHaveLength(2);
--- a/src/core/store/test/storeOutage.test.ts
+++ b/src/core/store/test/storeOutage.test.ts
@@ -5,12 +5,12 @@
 import { SeededRandom } from '../../../base/common/random';
 import type { Silence } from '../../following/test/silentPublisher';
 import { SilentPublisher } from '../../following/test/silentPublisher';
-import type { IStoreClient, StoreFault, StoreItem, StoreNews, StorePage } from '../common/storeClient';
-import { StoreChangeKind, StoreFaultKind } from '../common/storeClient';
+import type { IStoreClient, StoreError, StoreItem, StoreWatchResult, StorePage } from '../common/storeClient';
+import { StoreChangeKind, StoreErrorKind } from '../common/storeClient';
 import { StoreFollower } from '../common/storeFollower';
 
 /** An entry is held to what was confirmed once the store has been well for this long. */
-const contactMs = 5_000;
+const defaultMaxDelayMs = 5_000;
 const stepsInBound = 100;
 
 /** A store with one item, written anew when its silence ends. */
@@ -21,8 +21,8 @@
 		_prefix: string,
 		_after: string | undefined,
 		signal: AbortSignal,
-	): Promise<Result<StorePage, StoreFault>> {
-		return withGivingUp(
+	): Promise<Result<StorePage, StoreError>> {
+		return withAbort(
 			this.publisher.read(0, 0).then(() => {
 				const { version: revision } = this.publisher;
 				return ok({ items: [createItem(revision)], hasMore: false, revision });
@@ -36,8 +36,8 @@
 		after: number,
 		waitMs: number,
 		signal: AbortSignal,
-	): Promise<Result<StoreNews, StoreFault>> {
-		return withGivingUp(
+	): Promise<Result<StoreWatchResult, StoreError>> {
+		return withAbort(
 			this.publisher.read(after, waitMs).then(() => {
 				const { version: revision } = this.publisher;
 				const change = { kind: StoreChangeKind.Written as const, item: createItem(revision) };
@@ -56,16 +56,16 @@
 	return { key: 'op/config', value: Buffer.from(String(revision)), revision };
 }
 
-function withGivingUp<TValue>(
-	answer: Promise<Result<TValue, StoreFault>>,
+function withAbort<TValue>(
+	answer: Promise<Result<TValue, StoreError>>,
 	signal: AbortSignal,
-): Promise<Result<TValue, StoreFault>> {
-	const givenUp = new Promise<Result<TValue, StoreFault>>(resolve => {
+): Promise<Result<TValue, StoreError>> {
+	const aborted = new Promise<Result<TValue, StoreError>>(resolve => {
 		signal.addEventListener('abort', () => {
-			resolve(err({ kind: StoreFaultKind.Unreachable, detail: 'given up' }));
+			resolve(err({ kind: StoreErrorKind.Unreachable, detail: 'given up' }));
 		});
 	});
-	return Promise.race([answer, givenUp]);
+	return Promise.race([answer, aborted]);
 }
 
 async function waitForPromises(): Promise<void> {
@@ -75,18 +75,18 @@
 }
 
 /** Milliseconds from the end of a silence, when an item is written anew, until a follower has it. */
-async function measureNewsDelay(silence: Silence, newsWithinMs: number, seed: number): Promise<number> {
+async function measureDelay(silence: Silence, maxDelayMs: number, seed: number): Promise<number> {
 	const timers = new ManualTimerService();
 	const store = new SilentStore(new SilentPublisher(timers, silence));
-	const follower = new StoreFollower('op/', store, timers, new SeededRandom(seed), newsWithinMs);
+	const follower = new StoreFollower('op/', store, timers, new SeededRandom(seed), maxDelayMs);
 	let heldRevision = 0;
 	subscribeTo(follower.onDidChange, ({ revision }) => {
 		heldRevision = revision;
 	});
 	void follower.follow();
-	while (heldRevision < 2 && timers.getNow() < silence.toMs + 4 * newsWithinMs) {
+	while (heldRevision < 2 && timers.getNow() < silence.toMs + 4 * maxDelayMs) {
 		await waitForPromises();
-		timers.advance(newsWithinMs / stepsInBound);
+		timers.advance(maxDelayMs / stepsInBound);
 	}
 	follower.dispose();
 	return timers.getNow() - silence.toMs;
@@ -105,9 +105,9 @@
 		async seed => {
 			const delays: number[] = [];
 			for (let lengthMs = 100; lengthMs <= 14_000; lengthMs += 100) {
-				delays.push(await measureNewsDelay({ fromMs: 5_000, toMs: 5_000 + lengthMs }, contactMs, seed));
+				delays.push(await measureDelay({ fromMs: 5_000, toMs: 5_000 + lengthMs }, defaultMaxDelayMs, seed));
 			}
-			expect(Math.max(...delays)).toBeLessThanOrEqual(contactMs);
+			expect(Math.max(...delays)).toBeLessThanOrEqual(defaultMaxDelayMs);
 		},
 	);
 
@@ -119,7 +119,7 @@
 			const delays: number[] = [];
 			for (let share = 0; share < 1; share += 0.01) {
 				const fromMs = Math.floor((1 + share) * newsWithinMs);
-				delays.push(await measureNewsDelay({ fromMs, toMs: fromMs + 1 }, newsWithinMs, 1));
+				delays.push(await measureDelay({ fromMs, toMs: fromMs + 1 }, newsWithinMs, 1));
 			}
 			expect(Math.max(...delays)).toBeLessThanOrEqual(newsWithinMs);
 		},
--- a/src/core/store/test/storeRestore.test.ts
+++ b/src/core/store/test/storeRestore.test.ts
@@ -7,7 +7,7 @@
 import type { ModelStoreCopy } from './modelStore';
 import { advanceInSteps, ModelStore } from './modelStore';
 
-const newsWithinMs = 5_000;
+const maxDelayMs = 5_000;
 
 interface Following {
 	readonly store: ModelStore;
@@ -22,7 +22,7 @@
 function startFollowing(): Following {
 	const timers = new ManualTimerService();
 	const store = new ModelStore(timers);
-	const follower = new StoreFollower('', store, timers, new SeededRandom(1), newsWithinMs);
+	const follower = new StoreFollower('', store, timers, new SeededRandom(1), maxDelayMs);
 	const changes: FollowedChange[] = [];
 	const restores: StoreRestore[] = [];
 	const held = new Map<string, string>();
@@ -112,11 +112,11 @@
 		store.put('a', 'value');
 		await advance(100);
 		const before = changes.length;
-		follower.noteEra(2);
+		follower.updateEra(2);
 		await advance(20);
 		expect(restores).toMatchObject([{ fromEra: 1, toEra: 2 }]);
 		expect(changes.length).toBe(before);
-		follower.noteEra(2);
+		follower.updateEra(2);
 		expect(restores.length).toBe(1);
 	});
 
--- a/src/core/targets/common/targetLife.ts
+++ b/src/core/targets/common/targetLifecycle.ts
@@ -17,10 +17,10 @@
  */
 
 import chartFile from '../../../../charts/target.json';
-import { TypedChart, TypedWalk } from '../../charts/common/typedChart';
+import { TypedChart, TypedStateMachine } from '../../charts/common/typedChart';
 import type { BootId, ManifestVersion } from '../../ids/common/ids';
 import { TargetIntent } from '../../manifest/common/manifest';
-import { LeavingSign, LeavingSigns } from './leavingSigns';
+import { LeavingReason, LeavingReasons } from './leavingReasons';
 
 export enum TargetState {
 	Live = 'live',
@@ -60,98 +60,98 @@
 }
 
 /** Connections that fail in a row before a target is suspected; one may be a lost packet. */
-const failuresToSuspect = 3;
+const suspectAfterFailures = 3;
 
-const firstTrialMs = 500;
-const longestTrialMs = 5_000;
+const initialProbeDelayMs = 500;
+const maxProbeDelayMs = 5_000;
 
 /**
  * A server that answers probes for so long and closes every connection does so by habit: a stop does not
  * take longer, and without this end a server whose settings changed would stay out for good.
  */
-const closeByHabitMs = 600_000;
+const maxConnectionCloseMs = 600_000;
 
 /**
  * One target's life. Every method takes the present time in monotonic milliseconds; those that note
  * something give the state that it led to.
  */
-export class TargetLife {
-	private readonly walk = new TypedWalk(targetChart);
-	private readonly signs = new LeavingSigns();
-	private failures = 0;
-	private trialMs = firstTrialMs;
-	private trialDueMs = 0;
+export class TargetLifecycle {
+	private readonly stateMachine = new TypedStateMachine(targetChart);
+	private readonly reasons = new LeavingReasons();
+	private consecutiveFailures = 0;
+	private probeDelayMs = initialProbeDelayMs;
+	private probeDueMs = 0;
 	private boot: BootId | undefined;
 	private wasUnlisted = false;
-	private hasKeptAlive = false;
+	private hasKeptConnectionOpen = false;
 	private closingSinceMs: number | undefined;
 	private isListedLeaving = false;
-	private version: ManifestVersion | undefined;
+	private manifestVersion: ManifestVersion | undefined;
 
 	constructor(private readonly onDidChange: (change: TargetChange) => void) {}
 
 	getState(): TargetState {
-		return this.walk.getState();
+		return this.stateMachine.getState();
 	}
 
 	/** Whether it may be given requests. */
 	isUsable(): boolean {
-		return this.walk.getState() === TargetState.Live;
+		return this.stateMachine.getState() === TargetState.Live;
 	}
 
 	/**
 	 * Whether this entry has it from the target itself, and should tell its peers. A closed connection is
 	 * not told: each entry sees its own, and one of them may be closed for its age alone.
 	 */
-	isLeavingByOwnWord(): boolean {
-		return this.signs.has(LeavingSign.OwnWord);
+	isSelfReportedLeaving(): boolean {
+		return this.reasons.has(LeavingReason.SelfReport);
 	}
 
 	/** The manifest in force names the target; call for each accepted version. */
 	noteManifest(intent: TargetIntent, version: ManifestVersion, nowMs: number): TargetState {
-		const isNewer = this.version === undefined || version > this.version;
-		this.version = version;
+		const isNewer = this.manifestVersion === undefined || version > this.manifestVersion;
+		this.manifestVersion = version;
 		if (intent === TargetIntent.Leaving) {
-			this.addSign(LeavingSign.Manifest, nowMs);
+			this.addReason(LeavingReason.Manifest, nowMs);
 		} else if (isNewer) {
-			this.signs.clear(sign => sign !== LeavingSign.InstanceList || !this.isListedLeaving);
-			this.clearIfNoneStands(`manifest v${version}`, nowMs);
+			this.reasons.clear(reason => reason !== LeavingReason.InstanceList || !this.isListedLeaving);
+			this.clearIfNoReasons(`manifest v${version}`, nowMs);
 		}
-		return this.walk.getState();
+		return this.stateMachine.getState();
 	}
 
 	/** The manifest in force no longer names the target. */
 	remove(version: ManifestVersion): void {
-		this.follow(TargetEvent.Remove, `manifest v${version}`);
+		this.applyEvent(TargetEvent.Remove, `manifest v${version}`);
 	}
 
 	/** The instance list arrived; it may be older than what is known. */
 	noteListed(listed: ListedTarget | undefined, nowMs: number): TargetState {
 		if (listed === undefined) {
 			this.wasUnlisted = true;
-			return this.walk.getState();
+			return this.stateMachine.getState();
 		}
 		const isOtherBoot = this.wasUnlisted || this.isOtherBoot(listed.boot);
 		this.wasUnlisted = false;
 		this.boot = listed.boot ?? this.boot;
 		this.isListedLeaving = listed.isLeaving;
 		if (listed.isLeaving) {
-			this.addSign(LeavingSign.InstanceList, nowMs);
+			this.addReason(LeavingReason.InstanceList, nowMs);
 		} else if (isOtherBoot) {
-			this.signs.clear(sign => sign !== LeavingSign.Manifest);
-			this.clearIfNoneStands(LeavingSign.InstanceList, nowMs);
+			this.reasons.clear(reason => reason !== LeavingReason.Manifest);
+			this.clearIfNoReasons(LeavingReason.InstanceList, nowMs);
 		}
-		return this.walk.getState();
+		return this.stateMachine.getState();
 	}
 
 	/** The target said on an answer that it is leaving. */
-	noteOwnWord(nowMs: number): TargetState {
-		return this.addSign(LeavingSign.OwnWord, nowMs);
+	noteSelfReport(nowMs: number): TargetState {
+		return this.addReason(LeavingReason.SelfReport, nowMs);
 	}
 
 	/** A peer had it from the target that it is leaving; call for each of the peer's views that says so. */
-	notePeerWord(nowMs: number): TargetState {
-		return this.addSign(LeavingSign.PeerWord, nowMs);
+	notePeerReport(nowMs: number): TargetState {
+		return this.addReason(LeavingReason.PeerReport, nowMs);
 	}
 
 	/**
@@ -159,49 +159,52 @@
 	 * read as leaving, it would never be used, so the close counts only after an answer without one.
 	 */
 	noteAnswer(isClosing: boolean, nowMs: number): TargetState {
-		this.failures = 0;
+		this.consecutiveFailures = 0;
 		if (!isClosing) {
-			this.hasKeptAlive = true;
+			this.hasKeptConnectionOpen = true;
 			this.closingSinceMs = undefined;
-		} else if (this.hasKeptAlive) {
+		} else if (this.hasKeptConnectionOpen) {
 			this.closingSinceMs ??= nowMs;
-			this.addSign(LeavingSign.ConnectionClose, nowMs);
+			this.addReason(LeavingReason.ConnectionClose, nowMs);
 		}
-		return this.walk.getState();
+		return this.stateMachine.getState();
 	}
 
 	/** No connection could be opened, or the target died with requests in flight. */
 	noteFailure(nowMs: number): TargetState {
-		this.failures++;
-		if (this.failures < failuresToSuspect || this.walk.getState() !== TargetState.Live) {
-			return this.walk.getState();
+		this.consecutiveFailures++;
+		if (
+			this.consecutiveFailures < suspectAfterFailures ||
+			this.stateMachine.getState() !== TargetState.Live
+		) {
+			return this.stateMachine.getState();
 		}
-		this.hasKeptAlive = false;
+		this.hasKeptConnectionOpen = false;
 		this.closingSinceMs = undefined;
-		this.scheduleTrial(firstTrialMs, nowMs);
-		return this.follow(TargetEvent.Suspect, `${this.failures} connections failed`);
+		this.scheduleProbe(initialProbeDelayMs, nowMs);
+		return this.applyEvent(TargetEvent.Suspect, `${this.consecutiveFailures} connections failed`);
 	}
 
 	/** When `startTrial` has something to do, or undefined. */
 	getNextDueMs(): number | undefined {
-		switch (this.walk.getState()) {
+		switch (this.stateMachine.getState()) {
 			case TargetState.Suspect:
-				return this.trialDueMs;
+				return this.probeDueMs;
 			case TargetState.Leaving:
-				return this.signs.findEndMs();
+				return this.reasons.findExpiryMs();
 			default:
 				return undefined;
 		}
 	}
 
 	/** Whether a probe must be sent now; its end is told by `noteTrialAnswered` or `noteTrialFailed`. */
-	startTrial(nowMs: number): boolean {
-		this.signs.expire(nowMs);
-		this.clearIfNoneStands('time without a sign', nowMs);
-		if (this.walk.getState() !== TargetState.Suspect || nowMs < this.trialDueMs) {
+	startProbe(nowMs: number): boolean {
+		this.reasons.expire(nowMs);
+		this.clearIfNoReasons('time without a sign', nowMs);
+		if (this.stateMachine.getState() !== TargetState.Suspect || nowMs < this.probeDueMs) {
 			return false;
 		}
-		this.follow(TargetEvent.Try, 'trial due');
+		this.applyEvent(TargetEvent.Try, 'trial due');
 		return true;
 	}
 
@@ -209,65 +212,65 @@
 	 * The probe was answered. A word of leaving on the answer is told by `noteOwnWord`, before this. A probe
 	 * that asks for a connection to be closed gets a close that says nothing: let it ask to keep it open.
 	 */
-	noteTrialAnswered(isClosing: boolean, nowMs: number): TargetState {
-		this.expireHabit(nowMs);
+	noteProbeAnswered(isClosing: boolean, nowMs: number): TargetState {
+		this.expireConnectionClose(nowMs);
 		this.noteAnswer(isClosing, nowMs);
-		if (this.walk.getState() !== TargetState.Trial) {
-			return this.walk.getState();
+		if (this.stateMachine.getState() !== TargetState.Trial) {
+			return this.stateMachine.getState();
 		}
-		this.signs.noteBack(nowMs);
-		return this.follow(TargetEvent.Accept, 'trial accepted');
+		this.reasons.noteReturned(nowMs);
+		return this.applyEvent(TargetEvent.Accept, 'trial accepted');
 	}
 
 	/** The probe was not answered. */
-	noteTrialFailed(nowMs: number): TargetState {
-		if (this.walk.getState() !== TargetState.Trial) {
-			return this.walk.getState();
+	noteProbeFailed(nowMs: number): TargetState {
+		if (this.stateMachine.getState() !== TargetState.Trial) {
+			return this.stateMachine.getState();
 		}
-		this.scheduleTrial(Math.min(longestTrialMs, this.trialMs * 2), nowMs);
-		return this.follow(TargetEvent.Fail, 'trial failed');
+		this.scheduleProbe(Math.min(maxProbeDelayMs, this.probeDelayMs * 2), nowMs);
+		return this.applyEvent(TargetEvent.Fail, 'trial failed');
 	}
 
-	private addSign(sign: LeavingSign, nowMs: number): TargetState {
-		if (this.walk.isEnded()) {
-			return this.walk.getState();
+	private addReason(reason: LeavingReason, nowMs: number): TargetState {
+		if (this.stateMachine.isEnded()) {
+			return this.stateMachine.getState();
 		}
-		if (this.walk.getState() !== TargetState.Leaving) {
-			this.signs.noteLeft(nowMs);
+		if (this.stateMachine.getState() !== TargetState.Leaving) {
+			this.reasons.noteLeaving(nowMs);
 		}
-		this.signs.add(sign, nowMs);
-		return this.follow(TargetEvent.Leave, sign);
+		this.reasons.add(reason, nowMs);
+		return this.applyEvent(TargetEvent.Leave, reason);
 	}
 
 	private isOtherBoot(boot: BootId | undefined): boolean {
 		return boot !== undefined && this.boot !== undefined && boot !== this.boot;
 	}
 
-	private clearIfNoneStands(sign: string, nowMs: number): void {
-		if (!this.signs.isEmpty() || this.walk.getState() !== TargetState.Leaving) {
+	private clearIfNoReasons(sign: string, nowMs: number): void {
+		if (!this.reasons.isEmpty() || this.stateMachine.getState() !== TargetState.Leaving) {
 			return;
 		}
-		this.scheduleTrial(0, nowMs);
-		this.follow(TargetEvent.Clear, sign);
+		this.scheduleProbe(0, nowMs);
+		this.applyEvent(TargetEvent.Clear, sign);
 	}
 
-	private expireHabit(nowMs: number): void {
-		if (this.closingSinceMs !== undefined && nowMs - this.closingSinceMs >= closeByHabitMs) {
-			this.hasKeptAlive = false;
+	private expireConnectionClose(nowMs: number): void {
+		if (this.closingSinceMs !== undefined && nowMs - this.closingSinceMs >= maxConnectionCloseMs) {
+			this.hasKeptConnectionOpen = false;
 			this.closingSinceMs = undefined;
 		}
 	}
 
-	private scheduleTrial(delayMs: number, nowMs: number): void {
-		this.trialMs = Math.max(firstTrialMs, delayMs);
-		this.trialDueMs = nowMs + delayMs;
+	private scheduleProbe(delayMs: number, nowMs: number): void {
+		this.probeDelayMs = Math.max(initialProbeDelayMs, delayMs);
+		this.probeDueMs = nowMs + delayMs;
 	}
 
-	private follow(event: TargetEvent, sign: string): TargetState {
-		const from = this.walk.getState();
-		if (this.walk.accept(event)) {
-			this.onDidChange({ from, to: this.walk.getState(), sign });
+	private applyEvent(event: TargetEvent, sign: string): TargetState {
+		const from = this.stateMachine.getState();
+		if (this.stateMachine.accept(event)) {
+			this.onDidChange({ from, to: this.stateMachine.getState(), sign });
 		}
-		return this.walk.getState();
+		return this.stateMachine.getState();
 	}
 }
--- a/src/ctl/node/checkManifestCommand.ts
+++ b/src/ctl/node/checkManifestCommand.ts
@@ -5,7 +5,7 @@
 
 import type { Result } from 'neverthrow';
 import { err, ok } from 'neverthrow';
-import type { DocumentFault, Manifest } from '../../core/manifest/common/manifest';
+import type { ValidationIssue, Manifest } from '../../core/manifest/common/manifest';
 import { checkManifest, parseManifest } from '../../core/manifest/common/manifest';
 import { ExitCode } from '../common/exitCode';
 import { formatCount } from '../common/formatting';
@@ -29,7 +29,7 @@
 	readonly manifest: Manifest;
 }
 
-function formatDocumentFault(file: string, { place, problem }: DocumentFault): string {
+function formatDocumentFault(file: string, { place, problem }: ValidationIssue): string {
 	return place === '' ? `${file}: ${problem}` : `${file}: ${place}: ${problem}`;
 }
 
@@ -102,7 +102,7 @@
 			: err(`${entry}: the manifest in force is not one that this program knows; compare versions`);
 	}
 
-	private writeFaults(faults: readonly DocumentFault[]): void {
+	private writeFaults(faults: readonly ValidationIssue[]): void {
 		const { file, isJson } = this.options;
 		writeAnswer(this.output, isJson, { file, isRight: false, faults }, () =>
 			faults.map(fault => formatDocumentFault(file, fault)),
--- a/src/entry/common/requests/requestLife.ts
+++ b/src/entry/common/requests/requestLife.ts
@@ -14,7 +14,7 @@
 import type { RequestError } from '../../../core/errors/common/errorKinds';
 import { getOutcomeOf } from '../../../core/errors/common/errorKinds';
 import { Outcome } from '../../../core/errors/common/outcome';
-import { TypedChart, TypedWalk } from '../../../core/charts/common/typedChart';
+import { TypedChart, TypedStateMachine } from '../../../core/charts/common/typedChart';
 
 export enum RequestState {
 	/** The head is there and not yet checked. */
@@ -109,7 +109,7 @@
 
 /** One request's walk on the chart. */
 export class RequestLife {
-	private readonly walk = new TypedWalk(requestChart);
+	private readonly walk = new TypedStateMachine(requestChart);
 
 	getState(): RequestState {
 		return this.walk.getState();
--- a/src/entry/node/environment/ownSources.ts
+++ b/src/entry/node/environment/ownSources.ts
@@ -7,7 +7,7 @@
 import { Disposable } from '../../../base/common/lifecycle';
 import type { IRandom } from '../../../base/common/random';
 import type { ITimerService } from '../../../base/common/timerService';
-import { planWatch } from '../../../core/following/common/watchPace';
+import { computeWatchTimings } from '../../../core/following/common/watchBackoff';
 import { PlatformFollower } from '../../../core/following/node/platformFollower';
 import type {
 	PlatformDocument,
@@ -47,7 +47,7 @@
 		private readonly parts: OwnSourceParts,
 	) {
 		super();
-		const platform = new HttpPlatformClient(url, planWatch(newsWithinMs).answerMs);
+		const platform = new HttpPlatformClient(url, computeWatchTimings(newsWithinMs).answerTimeoutMs);
 		const { manifests, fleet, targets, timers, random } = parts;
 		this.platform = platform;
 		this.onDidEndRead = platform.onDidEndRead;
@@ -91,7 +91,7 @@
 	}
 
 	getPlatformSilenceMs(): number | undefined {
-		return this.manifestFollower.getSilenceMs();
+		return this.manifestFollower.getTimeSinceAnswerMs();
 	}
 
 	async readManifestAnew(): Promise<void> {
--- a/src/entry/node/fleet/entryFleet.ts
+++ b/src/entry/node/fleet/entryFleet.ts
@@ -11,8 +11,8 @@
 import type { ITimerService } from '../../../base/common/timerService';
 import type { IAuditTrail } from '../../../core/audit/common/auditTrail';
 import type { InstanceId, RegionName, ServiceName, ZoneName } from '../../../core/ids/common/ids';
-import { InstanceState } from '../../../core/instances/common/instanceLife';
-import { InstanceLives } from '../../../core/instances/common/instanceLives';
+import { InstanceState } from '../../../core/instances/common/instanceLifecycle';
+import { InstanceLifecycles } from '../../../core/instances/common/instanceLifecycles';
 import type { InstanceList, ListedInstance } from '../../../core/platformClient/common/instanceList';
 import { ListedState } from '../../../core/platformClient/common/instanceList';
 import type { EntryView as WireView } from '../../../gen/anvilroad/peer/v1/peer_pb';
@@ -57,7 +57,7 @@
 	private readonly views: FleetView;
 	private readonly plan: ExchangePlan;
 	private readonly contacts: Contacts;
-	private readonly lives: InstanceLives;
+	private readonly lives: InstanceLifecycles;
 	private readonly received = this.register(new Channel<EntryView>());
 
 	/** Each view that is newer than what was held, with the age that it had when it arrived. */
@@ -75,7 +75,7 @@
 		this.views = new FleetView(place.id);
 		this.plan = new ExchangePlan(place, this.views, random);
 		this.contacts = new Contacts(place, this.views, this.plan, random);
-		this.lives = this.register(new InstanceLives(auditTrail, new FleetSilenceLimits(this.views)));
+		this.lives = this.register(new InstanceLifecycles(auditTrail, new FleetSilenceLimits(this.views)));
 		this.register(
 			subscribeTo(timers.watchTicks(periodMs), ({ nowMs, elapsedMs }) => {
 				this.noteOwnSleep(Math.max(0, elapsedMs - periodMs));
@@ -85,7 +85,7 @@
 		);
 	}
 
-	getLives(): InstanceLives {
+	getLives(): InstanceLifecycles {
 		return this.lives;
 	}
 
@@ -175,7 +175,7 @@
 	}
 
 	private findState(view: EntryView): InstanceState {
-		return this.lives.findBoot(view.bootId)?.life.getState() ?? InstanceState.Gone;
+		return this.lives.findBoot(view.bootId)?.lifecycle.getState() ?? InstanceState.Gone;
 	}
 
 	private createCandidate(known: KnownInstance, service: ServiceName | undefined): LookupCandidate {
@@ -197,7 +197,7 @@
 		const nowMs = this.timers.getNow();
 		for (const view of this.views.merge(views, nowMs)) {
 			const { instance, bootId, peerUrl, isLeaving, ageMs } = view;
-			this.lives.noteHeard({ instance, boot: bootId, peerUrl, isLeaving, ageMs }, `peer ${from}`, nowMs);
+			this.lives.noteReport({ instance, boot: bootId, peerUrl, isLeaving, ageMs }, `peer ${from}`, nowMs);
 			this.received.emit(view);
 		}
 	}
@@ -205,7 +205,7 @@
 	/** What was not heard while this process slept is no silence of the others. */
 	private noteOwnSleep(sleptMs: number): void {
 		this.views.noteOwnSleep(sleptMs);
-		this.lives.noteOwnSleep(sleptMs);
+		this.lives.noteProcessPause(sleptMs);
 	}
 
 	private expire(nowMs: number): void {
--- a/src/entry/node/fleet/fleetSilenceLimits.ts
+++ b/src/entry/node/fleet/fleetSilenceLimits.ts
@@ -4,18 +4,18 @@
  * time, empty its lookups and give each entry a too large part of the targets.
  */
 
-import type { SilenceLimits } from '../../../core/instances/common/instanceLife';
+import type { SilenceTimeouts } from '../../../core/instances/common/instanceLifecycle';
 import type { FleetView } from '../../common/fleetView/fleetView';
 
 /** Reads the limits off the fleet view each time they are asked. */
-export class FleetSilenceLimits implements SilenceLimits {
+export class FleetSilenceLimits implements SilenceTimeouts {
 	constructor(private readonly views: FleetView) {}
 
-	get suspectMs(): number {
+	get suspectAfterMs(): number {
 		return this.views.computeSuspectAfter();
 	}
 
-	get forgetMs(): number {
+	get removeAfterMs(): number {
 		return this.views.computeForgetAfter();
 	}
 }
--- a/src/entry/node/operatorsSource.ts
+++ b/src/entry/node/operatorsSource.ts
@@ -115,7 +115,7 @@
 			instance: view.instance,
 			region: view.region,
 			zone: view.zone,
-			state: lives.findBoot(view.bootId)?.life.getState() ?? 'gone',
+			state: lives.findBoot(view.bootId)?.lifecycle.getState() ?? 'gone',
 			viewAgeMs: Math.round(ageMs),
 			manifestVersion: view.manifestVersion,
 		}));
@@ -147,7 +147,7 @@
 export function countPeers(fleet: PeersInView): ReadonlyMap<string, number> {
 	const counts = new Map<string, number>();
 	for (const { view } of fleet.listViews()) {
-		const state = fleet.getLives().findBoot(view.bootId)?.life.getState();
+		const state = fleet.getLives().findBoot(view.bootId)?.lifecycle.getState();
 		if (state !== undefined) {
 			counts.set(state, (counts.get(state) ?? 0) + 1);
 		}
--- a/src/entry/node/targets/targetRegistry.ts
+++ b/src/entry/node/targets/targetRegistry.ts
@@ -14,8 +14,8 @@
 import { TargetRole } from '../../../core/manifest/common/manifest';
 import type { InstanceList } from '../../../core/platformClient/common/instanceList';
 import { ListedState } from '../../../core/platformClient/common/instanceList';
-import type { ListedTarget } from '../../../core/targets/common/targetLife';
-import { TargetLives } from '../../../core/targets/common/targetLives';
+import type { ListedTarget } from '../../../core/targets/common/targetLifecycle';
+import { TargetLifecycles } from '../../../core/targets/common/targetLifecycles';
 import type { AnswerHead } from '../../common/callers/answerSink';
 import { findHeader } from '../../common/callers/callHead';
 import type { AnswerReading } from '../../common/dialect/targetDialect';
@@ -43,7 +43,7 @@
 export class TargetRegistry extends Disposable implements ITargetRegistry {
 	private readonly known = new Map<TargetId, KnownTarget>();
 	private readonly changes = this.register(new Channel<ServiceName>());
-	private readonly lives: TargetLives;
+	private readonly lives: TargetLifecycles;
 	private readonly lastSigns = new Map<string, string>();
 	private manifest: IndexedManifest | undefined;
 	private listed: ReadonlyMap<TargetId, ListedTarget> | undefined;
@@ -57,7 +57,7 @@
 		private readonly timers: ITimerService,
 	) {
 		super();
-		this.lives = this.register(new TargetLives(auditTrail));
+		this.lives = this.register(new TargetLifecycles(auditTrail));
 		this.register(
 			subscribeTo(auditTrail.onDidRecord, ({ kind, subject, sign }) => {
 				if (kind === AuditKind.Target) {
@@ -105,11 +105,11 @@
 	}
 
 	notePeerWords(targets: readonly TargetId[]): void {
-		this.lives.notePeerWords(targets, this.timers.getNow());
+		this.lives.noteLeavingReportedByPeer(targets, this.timers.getNow());
 	}
 
 	listLeavingByOwnWord(): readonly TargetId[] {
-		return this.lives.listLeavingByOwnWord();
+		return this.lives.listSelfReportedLeaving();
 	}
 
 	/** The service's targets in this region, as its scheduler sees them. */
@@ -134,12 +134,12 @@
 		return this.listOf(service).map(({ id, zone }) => ({
 			id,
 			zone,
-			state: this.lives.findLife(id)?.getState() ?? 'unknown',
+			state: this.lives.findLifecycle(id)?.getState() ?? 'unknown',
 			lastSign: this.lastSigns.get(id) ?? '',
 		}));
 	}
 
-	getLives(): TargetLives {
+	getLives(): TargetLifecycles {
 		return this.lives;
 	}
 
@@ -153,9 +153,9 @@
 	}
 
 	noteAnswerHead(target: TargetId, head: AnswerHead, { isLeaving }: Pick<AnswerReading, 'isLeaving'>): void {
-		const life = this.lives.findLife(target);
+		const life = this.lives.findLifecycle(target);
 		if (isLeaving) {
-			life?.noteOwnWord(this.timers.getNow());
+			life?.noteSelfReport(this.timers.getNow());
 			return;
 		}
 		life?.noteAnswer(isClosing(findHeader(head.lines, 'connection')), this.timers.getNow());
@@ -179,7 +179,7 @@
 
 	noteAttemptEnd(target: TargetId, end: AttemptEnd): void {
 		if (end === AttemptEnd.NotConnected || end === AttemptEnd.Failed) {
-			this.lives.findLife(target)?.noteFailure(this.timers.getNow());
+			this.lives.findLifecycle(target)?.noteFailure(this.timers.getNow());
 		}
 	}
 
@@ -212,26 +212,26 @@
 	}
 
 	private startTrials(nowMs: number): void {
-		for (const target of this.lives.startTrials(nowMs)) {
+		for (const target of this.lives.startDueProbes(nowMs)) {
 			void this.probe(target);
 		}
 	}
 
 	private async probe(target: TargetId): Promise<void> {
 		const url = this.known.get(target)?.url;
-		const life = this.lives.findLife(target);
+		const life = this.lives.findLifecycle(target);
 		if (url === undefined || life === undefined) {
 			return;
 		}
 		const answer = await probeTarget(url);
 		if (answer === undefined) {
-			life.noteTrialFailed(this.timers.getNow());
+			life.noteProbeFailed(this.timers.getNow());
 			return;
 		}
 		if (answer.isLeaving) {
-			life.noteOwnWord(this.timers.getNow());
+			life.noteSelfReport(this.timers.getNow());
 			return;
 		}
-		life.noteTrialAnswered(answer.isClosing, this.timers.getNow());
+		life.noteProbeAnswered(answer.isClosing, this.timers.getNow());
 	}
 }
--- a/src/entry/node/test/operatorsSource.test.ts
+++ b/src/entry/node/test/operatorsSource.test.ts
@@ -1,6 +1,6 @@
 import { RingAuditTrail } from '../../../core/audit/common/ringAuditTrail';
 import type { BootId, InstanceId } from '../../../core/ids/common/ids';
-import { InstanceLives } from '../../../core/instances/common/instanceLives';
+import { InstanceLifecycles } from '../../../core/instances/common/instanceLifecycles';
 import { createView } from '../fleet/test/views';
 import { countPeers } from '../operatorsSource';
 
@@ -8,12 +8,12 @@
 	// Half of the fleet is lost. The alert on live peers rings only if those that fell silent, that leave and
 	// that are gone no longer count as live.
 	it('tells the other entries by state, without those that are gone', () => {
-		const lives = new InstanceLives(new RingAuditTrail(10, () => new Date(0)));
+		const lives = new InstanceLifecycles(new RingAuditTrail(10, () => new Date(0)));
 		const boots = ['live', 'also-live', 'leaving', 'silent'];
 		boots.forEach((boot, index) => {
 			const spoken = { instance: `entry-${index}` as InstanceId, boot: boot as BootId, ageMs: 0 };
 			const isLeaving = boot === 'leaving';
-			lives.noteHeard({ ...spoken, peerUrl: `http://127.0.0.1:${index + 1}`, isLeaving }, 'peer', 0);
+			lives.noteReport({ ...spoken, peerUrl: `http://127.0.0.1:${index + 1}`, isLeaving }, 'peer', 0);
 		});
 		const views = [...boots, 'gone'].map(bootId => ({
 			view: createView('entry', { bootId: bootId as BootId }),
@@ -22,7 +22,7 @@
 		}));
 		const [first, second, third] = boots as BootId[];
 		for (const boot of [first, second, third]) {
-			lives.findBoot(boot!)?.life.noteHeard(5_000, boot === 'leaving', 'peer');
+			lives.findBoot(boot!)?.lifecycle.noteReport(5_000, boot === 'leaving', 'peer');
 		}
 		lives.expire(5_000);
 		const counts = countPeers({ getLives: () => lives, listViews: () => views });
