--- a/src/core/charts/common/typedChart.ts
+++ b/src/core/charts/common/typedChart.ts
@@ -1,7 +1,7 @@
 /**
- * State charts whose states and events the compiler knows. The file in `charts/` stays the statement of
- * the life; the enums beside the code that follows it are compared with it when the program loads. Without
- * that comparison a state renamed in the file alone would be found by the first request that reaches it.
+ * State charts with typed states and events. The files in `charts/` define the states and transitions; the enums in the
+ * code are compared with them when a module is loaded. Otherwise a state renamed only in the file would be detected only
+ * by the first request that reaches it.
  */
 
 import type { ChartFile } from '../../../base/common/chart';
@@ -29,7 +29,7 @@
 export class TypedChart<TState extends string, TEvent extends string> {
 	readonly chart: Chart;
 
-	/** Throws a ChartError where the file and the enums name different states or events. */
+	/** Throws a ChartError if the file and the enums define different states or events. */
 	constructor(file: ChartFile, states: EnumValues<TState>, events: EnumValues<TEvent>) {
 		this.chart = new Chart(file);
 		const fileStates = this.chart.listStates();
@@ -38,13 +38,13 @@
 		checkNames(file.id, 'events', [...fileEvents], Object.values(events));
 	}
 
-	/** The state that an event leads to, or undefined where the chart has no such edge. */
+	/** Returns the state after an event, or undefined if the chart has no such transition. */
 	findNext(state: TState, event: TEvent): TState | undefined {
 		return this.chart.findNext(state, event) as TState | undefined;
 	}
 }
 
-/** One life on a typed chart. */
+/** Current state on a typed chart. */
 export class TypedStateMachine<TState extends string, TEvent extends string> {
 	private readonly machine: ChartWalk;
 
@@ -60,12 +60,12 @@
 		return this.machine.isEnded();
 	}
 
-	/** Follows an event's edge and gives the new state; an event without an edge is a ChartError. */
+	/** Makes the transition of an event and returns the new state; throws a ChartError if there is none. */
 	send(event: TEvent): TState {
 		return this.machine.send(event) as TState;
 	}
 
-	/** Follows an event's edge where there is one, and says whether there was. */
+	/** Makes the transition of an event if there is one, and returns whether there was. */
 	accept(event: TEvent): boolean {
 		return this.machine.accept(event);
 	}
--- a/src/core/charts/test/charts.test.ts
+++ b/src/core/charts/test/charts.test.ts
@@ -12,7 +12,7 @@
 		.map(name => [name, JSON.parse(readFileSync(join(folder, name), 'utf8')) as ChartFile]);
 }
 
-/** Where xstate goes from a state on an event; the state itself where it has no edge. */
+/** Returns the state after an event according to xstate, which is the state itself if there is no transition. */
 function findNextByXstate(file: ChartFile, state: string, event: string): unknown {
 	const machine = createMachine(file as unknown as Parameters<typeof createMachine>[0]);
 	const snapshot = machine.resolveState({ value: state, context: {} });
@@ -45,7 +45,7 @@
 		}
 	});
 
-	it('reaches every state, and marks as final exactly the states without an edge', () => {
+	it('reaches every state, and marks as final exactly the states without transitions', () => {
 		expect([...listReachable(chart)].sort()).toEqual(chart.listStates().sort());
 		const marked = Object.keys(file.states).filter(state => file.states[state]?.type === 'final');
 		expect(marked).toEqual(chart.listStates().filter(state => chart.isFinal(state)));
--- a/src/core/discovery/common/discoveredTarget.ts
+++ b/src/core/discovery/common/discoveredTarget.ts
@@ -1,10 +1,10 @@
 /**
- * A target as it registers itself with the platform, in place of standing in the manifest.
+ * A target that registers itself with the platform instead of being listed in the manifest.
  */
 
 import type { BootId, RegionName, ServiceName, TargetId, ZoneName } from '../../ids/common/ids';
 
-/** What a target last said of itself. */
+/** The latest registration of a target. */
 export interface DiscoveredTarget {
 	readonly id: TargetId;
 	readonly service: ServiceName;
@@ -12,14 +12,14 @@
 	readonly zone: ZoneName;
 	/** `http://IP:PORT`. */
 	readonly url: string;
-	/** Requests that it runs at a time. */
+	/** Number of requests that the target runs concurrently. */
 	readonly slots: number;
-	/** It asked for no new work. */
+	/** The target asked for no new requests. */
 	readonly isLeaving: boolean;
-	/** How much longer it runs at all, where it is taken away at short notice. */
+	/** Remaining lifetime in milliseconds when the registration was written, if the target announced its end. */
 	readonly remainingMs: number | undefined;
-	/** How much longer it must be spared, in milliseconds from when it said so. */
+	/** How long the target remains cold after the registration was received, in milliseconds; 0 if it is warm. */
 	readonly coldLeftMs: number;
-	/** Which start of the target speaks; undefined where it does not say. */
+	/** Identifies the start of the target's process; undefined if the registration does not include it. */
 	readonly boot: BootId | undefined;
 }
--- a/src/core/discovery/common/discovery.ts
+++ b/src/core/discovery/common/discovery.ts
@@ -1,13 +1,11 @@
 /**
- * The targets that have registered themselves with the platform, and the availability zones whose targets
- * are to get nothing at present.
+ * Registered targets and the availability zones that are evacuated, whose targets receive no requests.
  *
- * While the platform's store is away, the registrations of targets that are well lapse with it. They are
- * written again within moments of its return; but the first thing that is read then is that the targets
- * are gone. Acted on at once, each return of the store would empty the region for a second or two, seen as
- * a burst of refusals. So a removal that is read just after an outage takes effect only if the target has
- * not registered again when `settleMs` have passed. A target that had asked for no new work is left out
- * either way.
+ * The registrations of healthy targets expire while the platform's store is down. The targets write them again shortly
+ * after the store recovers, but the first read after the recovery shows them as removed. If these removals applied at
+ * once, each recovery of the store would leave the region without targets for a second or two, and requests would be
+ * refused. A removal read just after an outage therefore applies only if the target has not registered again within
+ * `reregistrationGraceMs`. A target that had asked for no new requests is removed at once in any case.
  *
  * Registrations read from a store that was restored from an older copy may be outdated. Such a registration does not
  * make a leaving or removed target of the same boot available again; the target re-registers with its current state.
@@ -22,7 +20,7 @@
 import type { BootId, TargetId, ZoneName } from '../../ids/common/ids';
 import type { DiscoveredTarget } from './discoveredTarget';
 
-/** What was read of the registrations. */
+/** Registrations that were written or removed since the previous read. */
 export interface RegistrationChange {
 	readonly registered: readonly DiscoveredTarget[];
 	readonly removed: readonly TargetId[];
@@ -31,24 +29,24 @@
 	readonly isRestored?: boolean;
 }
 
-/** A registered target with what has become of it since. */
+/** A registered target with the times derived from its registration. */
 export interface KnownTarget {
 	readonly target: DiscoveredTarget;
-	/** Until when it must be spared, in monotonic milliseconds. */
+	/** When the target is no longer cold, in monotonic milliseconds. */
 	readonly coldUntilMs: number;
-	/** When it will be taken away, in monotonic milliseconds; infinite where nobody has said so. */
+	/** When the target will stop, in monotonic milliseconds; infinite if no end was announced. */
 	readonly endsMs: number;
-	/** It registered with another boot than before, or for the first time; counts up. */
+	/** Incremented when the target registers for the first time or with another boot or URL. */
 	readonly generation: number;
 }
 
-/** How long a lapsed registration may take to come back once the store is there again, in milliseconds. */
+/** How long an expired registration may take to be written again after an outage of the store, in milliseconds. */
 export const reregistrationGraceMs = 2_200;
 
-/** How many removed targets are remembered with their boots. */
+/** Maximum number of removed targets whose boots are kept. */
 const maxRemovedBoots = 1_000;
 
-/** Holds what is registered. */
+/** Keeps the registered targets and the evacuated zones. */
 export class Discovery extends Disposable {
 	private readonly known = new Map<TargetId, KnownTarget>();
 	private readonly pendingRemovals = new Map<TargetId, number>();
@@ -98,8 +96,8 @@
 	}
 
 	/**
-	 * The zones whose targets are to get nothing. Targets of a zone that is taken back may have been started
-	 * anew meanwhile, and their own word on it lags; so they count as cold for `coldMs` from then on.
+	 * Sets the zones whose targets receive no requests. Targets of a zone that is no longer evacuated may have been
+	 * restarted meanwhile, and registrations that show it arrive late; such targets count as cold for `coldMs`.
 	 */
 	setEvacuated(zones: ReadonlySet<ZoneName>, coldMs: number, nowMs: number): void {
 		for (const zone of zones) {
@@ -117,7 +115,7 @@
 		this.channel.emit(undefined);
 	}
 
-	/** Carries out removals that were held back. */
+	/** Applies the delayed removals that are due. */
 	expire(nowMs: number): void {
 		const due = [...this.pendingRemovals].filter(([, dueMs]) => dueMs <= nowMs);
 		for (const [id] of due) {
--- a/src/core/discovery/test/discovery.test.ts
+++ b/src/core/discovery/test/discovery.test.ts
@@ -29,14 +29,14 @@
 }
 
 describe('Discovery', () => {
-	it('drops a target whose registration is removed', () => {
+	it('removes a target whose registration is removed', () => {
 		const discovery = createDiscovery(createTarget());
 		discovery.applyRegistrations({ registered: [], removed: [id], isAfterOutage: false }, 10);
 		expect(discovery.list()).toEqual([]);
 	});
 
-	// The store was away, and the registrations of targets that are well lapsed with it. Dropped at once, each
-	// return of the store would leave a region without targets for a second, and its callers refused.
+	// Guards against refused requests after each outage of the store: the registrations of healthy targets expire during
+	// the outage, and removing them at once would leave a region without targets for a second.
 	it('waits for a target to register again after an outage of the store', () => {
 		const discovery = createDiscovery(createTarget());
 		discovery.applyRegistrations({ registered: [], removed: [id], isAfterOutage: true }, 100);
@@ -47,22 +47,22 @@
 		expect(discovery.list()).toHaveLength(1);
 	});
 
-	it('drops it when it does not', () => {
+	it('removes a target that does not register again after an outage of the store', () => {
 		const discovery = createDiscovery(createTarget());
 		discovery.applyRegistrations({ registered: [], removed: [id], isAfterOutage: true }, 100);
 		discovery.expire(100 + reregistrationGraceMs);
 		expect(discovery.list()).toEqual([]);
 	});
 
-	it('drops a target that was leaving at once, also after an outage', () => {
+	it('removes a leaving target at once, also after an outage', () => {
 		const discovery = createDiscovery(createTarget({ isLeaving: true }));
 		discovery.applyRegistrations({ registered: [], removed: [id], isAfterOutage: true }, 100);
 		expect(discovery.list()).toEqual([]);
 	});
 
-	// A target crashes and starts again under its id, within the life of its registration. Its old connections
-	// and all that it held are gone.
-	it('counts another start of a target', () => {
+	// Guards against using connections and cached state of a target that crashed and restarted under the same id before
+	// its registration expired.
+	it('increments the generation when a target restarts', () => {
 		const discovery = createDiscovery(createTarget());
 		const again = createTarget({ boot: '2' as BootId });
 		discovery.applyRegistrations({ registered: [again], removed: [], isAfterOutage: false }, 10);
@@ -71,9 +71,9 @@
 		expect(discovery.find(id)?.generation).toBe(2);
 	});
 
-	// The targets of an evacuated zone may be started anew while it is empty. Their word that they are cold
-	// lags; sent the zone's whole load at once, they would crash.
-	it('takes the targets of a zone that is taken back for cold', () => {
+	// Guards against sending the full load to targets that were restarted while their zone was evacuated: registrations
+	// that show them as cold arrive late, and the targets would crash.
+	it('treats the targets of a zone as cold when it is no longer evacuated', () => {
 		const discovery = createDiscovery(createTarget());
 		discovery.setEvacuated(new Set([zone]), 3_000, 100);
 		expect(discovery.isEvacuated(zone)).toBe(true);
@@ -82,7 +82,7 @@
 		expect(discovery.find(id)?.coldUntilMs).toBe(8_000);
 	});
 
-	it('knows when a target will be taken away', () => {
+	it('provides the announced end of a target', () => {
 		const discovery = createDiscovery();
 		const spot = createTarget({ isLeaving: true, remainingMs: 2_000 });
 		discovery.applyRegistrations({ registered: [spot], removed: [], isAfterOutage: false }, 500);
--- a/src/core/following/common/watchBackoff.ts
+++ b/src/core/following/common/watchBackoff.ts
@@ -1,37 +1,36 @@
 /**
- * How long a hanging read of published documents may wait, and how long to pause after one that failed.
+ * Computes how long a long-polling read may wait at the server, and the pause after a failed read.
  *
- * A read that is begun while the publisher gives no answer hangs for its whole wait, though the publisher is
- * back meanwhile; the process serves by what it read before the outage, seconds after the change of it was
- * confirmed, and so do its peers, whose reads hang for the same time. So only an answer earns a wait: after
- * a failure the next read asks for what there is now, and the one after its answer hangs again.
+ * A read that begins during an outage can hang for its whole wait even if the server recovers meanwhile. The process
+ * would then keep serving by outdated state for seconds after a change was confirmed, and so would its peers, whose
+ * reads hang for the same time. Reads therefore wait only after a successful answer: after a failure, the next read
+ * requests the current state, and the one after its answer waits again.
  *
- * A connection that falls silent in the middle of a wait shows nothing until the wait is over. So the wait,
- * the patience for an answer beyond it and the way back together stay within the time by which news may
- * be late.
+ * A connection that stops delivering data during a wait is detected only when the wait has passed. The wait, the answer
+ * timeout beyond it and the recovery therefore fit together into the maximum delay of a change.
  */
 
 import type { IRandom } from '../../../base/common/random';
 
-/** Bounds of one follower, in milliseconds. */
+/** Wait, timeout and pauses of one follower, in milliseconds. */
 export interface WatchTimings {
-	/** How long a read hangs at the publisher. */
+	/** How long a read may wait at the server for a change. */
 	readonly maxWaitMs: number;
-	/** How long an answer may take beyond the wait. */
+	/** How long an answer may take beyond the wait before the read is aborted. */
 	readonly answerTimeoutMs: number;
 	readonly minPauseMs: number;
 	readonly maxPauseMs: number;
 }
 
-/** Shares of the time by which news may be late; a tenth is left for the connection and the read after a failure. */
+/** Shares of the maximum delay of a change; the remaining tenth is for reconnecting and the read after a failure. */
 const maxWaitShare = 0.6;
 const answerTimeoutShare = 0.3;
 
-/** A read that hung into an outage, a pause and the way back together stay well below the whole. */
+/** A read that was waiting when an outage began, a pause and the recovery together stay well below the maximum delay. */
 const maxPauseShare = 0.25;
 const minPauseShare = 0.02;
 
-/** Figures with which news are never later than `newsWithinMs` once the publisher answers. */
+/** Computes timings with which a change is received within `maxDelayMs` once the server answers. */
 export function computeWatchTimings(maxDelayMs: number): WatchTimings {
 	return {
 		maxWaitMs: Math.floor(maxWaitShare * maxDelayMs),
@@ -41,7 +40,7 @@
 	};
 }
 
-/** Paces the reads of one follower. */
+/** Computes the wait of the next read and the pause after a failure for one follower. */
 export class WatchBackoff {
 	private consecutiveFailures = 0;
 	private isStale = false;
@@ -52,8 +51,8 @@
 	) {}
 
 	/**
-	 * How long the next read may hang at the publisher, in milliseconds; 0 asks for what there is now. After a
-	 * failure nothing hangs: a read begun in an outage would be waited out past the publisher's return.
+	 * How long the next read may wait at the server, in milliseconds; 0 requests the current state. After a failure
+	 * it is 0, since a read that begins in an outage could hang until after the server has recovered.
 	 */
 	computeWaitMs(): number {
 		return this.consecutiveFailures > 0 || this.isStale ? 0 : this.timings.maxWaitMs;
@@ -64,7 +63,7 @@
 		this.isStale = false;
 	}
 
-	/** What was read may be old, though no read has failed. */
+	/** Marks the state that was read as possibly outdated although no read has failed. */
 	markStale(): void {
 		this.isStale = true;
 	}
@@ -74,8 +73,8 @@
 	}
 
 	/**
-	 * The pause before the next read. It doubles with each failure and is drawn at random, so that a fleet that
-	 * lost the publisher together does not come back to it in one instant and trip the rate that all share.
+	 * Returns the pause before the next read. Its upper bound doubles with each failure and the pause is random, so
+	 * that processes that lost the server at the same time do not exceed the shared rate limit by retrying together.
 	 */
 	computePauseMs(): number {
 		const { minPauseMs, maxPauseMs } = this.timings;
--- a/src/core/following/node/platformFollower.ts
+++ b/src/core/following/node/platformFollower.ts
@@ -1,6 +1,6 @@
 /**
- * Follows one of the platform's documents: hangs on a watch for the next version, again and again. When the
- * platform refuses or is away, it pauses, and hangs again only after an answer.
+ * Tracks a versioned document of the platform by long polling. After a failed read it pauses, and reads wait for
+ * the next version again only after an answer.
  */
 
 import type { Stream } from 'most';
@@ -13,12 +13,12 @@
 import { computeWatchTimings, WatchBackoff } from '../common/watchBackoff';
 import type { PlatformRead } from '../../platformClient/node/platformClient';
 
-/** A document with a version. */
+/** A document whose version increases with each change. */
 interface IVersioned {
 	readonly version: number;
 }
 
-/** One read of a document, as a client gives it. */
+/** Waits up to `waitMs` for a version of the document above `after`. */
 export type ReadDocument<TDocument extends IVersioned> = (
 	after: number,
 	waitMs: number,
@@ -37,7 +37,7 @@
 
 	readonly onDidRead: Stream<TDocument> = this.documents.stream;
 
-	/** @param maxDelayMs By how many milliseconds a version may be late once the platform answers. */
+	/** @param maxDelayMs Maximum delay in milliseconds with which a version is received while the platform answers. */
 	constructor(
 		private readonly readDocument: ReadDocument<TDocument>,
 		private readonly timers: ITimerService,
@@ -54,14 +54,14 @@
 		);
 	}
 
-	/** Follows until disposed of. */
+	/** Reads new versions until disposed. */
 	async follow(): Promise<void> {
 		while (!this.abort.signal.aborted) {
 			await this.readOnce();
 		}
 	}
 
-	/** Reads made so far, waiting watches counted once. */
+	/** Number of reads made so far, including one that is still waiting. */
 	countReads(): number {
 		return this.readCount;
 	}
@@ -78,7 +78,7 @@
 		const read = await this.readDocument(this.lastVersion, waitMs, this.abort.signal);
 		if (read.isErr()) {
 			this.backoff.recordFailure();
-			// Told the same time, a fleet that came back exactly then would be refused together again.
+			// Random jitter: processes that retry exactly at the same `retry-after` time would be rejected again.
 			const pauseMs = (read.error.retryAfterMs ?? 0) + this.backoff.computePauseMs();
 			await waitFor(this.timers, pauseMs, this.abort.signal);
 			return;
@@ -93,7 +93,7 @@
 		}
 	}
 
-	/** A platform that says "nothing new" at once must not be asked again in a tight loop. */
+	/** Prevents a tight loop if the platform reports no new version without waiting. */
 	private async waitAfterEarlyAnswer(startedMs: number): Promise<void> {
 		const { minPauseMs } = this.timings;
 		const tookMs = this.timers.getNow() - startedMs;
--- a/src/core/following/test/platformFollower.test.ts
+++ b/src/core/following/test/platformFollower.test.ts
@@ -25,11 +25,11 @@
 	/** When each read was made, and after which version. */
 	readonly reads: { readonly atMs: number; readonly after: number }[];
 	readonly versions: number[];
-	/** Moves the clock in small steps, so that reads and waits take turns. */
+	/** Advances the clock in small steps and lets pending promises settle between them. */
 	advance(durationMs: number): Promise<void>;
 }
 
-/** A follower whose reads are answered at once by `answer`. */
+/** Creates a follower whose reads are answered immediately by `answer`. */
 function createFollowing(answer: (read: number) => Answer, seed = 1): Following {
 	const timers = new ManualTimerService();
 	const reads: Following['reads'] = [];
@@ -55,7 +55,7 @@
 }
 
 describe('PlatformFollower', () => {
-	it('emits each version and asks on from there', async () => {
+	it('emits each version and continues after it', async () => {
 		const following = createFollowing(read => ok(read <= 3 ? { version: read } : undefined));
 		void following.follower.follow();
 		await following.advance(1_000);
@@ -64,9 +64,9 @@
 		expect(following.reads.slice(0, 4).map(read => read.after)).toEqual([0, 1, 2, 3]);
 	});
 
-	it('asks rarely, and not in step with others, while the platform is away', async () => {
-		// The platform goes down for a minute. Entries that all ask again at once, and again every second,
-		// trip its rate limit when it comes back, and the outage goes on for everybody.
+	it('reads rarely, and at different times than other followers, while the platform is down', async () => {
+		// Guards against entries that retry in step during an outage: they exceed the platform's rate limit when it
+		// recovers, which prolongs the outage for all entries.
 		const [first, second] = [1, 2].map(seed => createFollowing(() => outage, seed));
 		for (const following of [first!, second!]) {
 			void following.follower.follow();
@@ -79,9 +79,9 @@
 		expect(second!.reads.slice(1, 10).map(read => read.atMs)).not.toEqual(times);
 	});
 
-	it('comes back no sooner than it was told to, and not in step with others', async () => {
-		// A fleet that lost the platform comes back to it together and is refused with one time to return.
-		// If all return exactly then, they are refused together once more.
+	it('retries no sooner than the platform requested, and at different times than other followers', async () => {
+		// Guards against rejected retries after an outage: the platform gives all entries the same retry time, and they
+		// are rejected again if all of them retry exactly at that time.
 		const refused: Answer = err({ detail: 'the platform answered 429', retryAfterMs: 10_000 });
 		const times = [1, 2].map(async seed => {
 			const following = createFollowing(() => refused, seed);
@@ -96,9 +96,9 @@
 		expect(second).not.toEqual(first);
 	});
 
-	it('does not spin where a watch is answered at once with nothing new', async () => {
-		// Something between the two ends answers for the platform without waiting. An entry that asked again
-		// at once would spend its core and the platform's whole rate on it.
+	it('pauses when a watch is answered immediately without a new version', async () => {
+		// Guards against a tight loop when an intermediary answers for the platform without waiting: it would use up the
+		// entry's CPU and the platform's rate limit.
 		const following = createFollowing(() => ok(undefined));
 		void following.follower.follow();
 		await following.advance(10_000);
@@ -106,10 +106,9 @@
 		expect(following.reads.length).toBeLessThanOrEqual(50);
 	});
 
-	// The platform falls silent for some seconds, and a version is published on its return. A read that was begun
-	// in the silence and is waited out keeps the entry on the version before, seconds longer than the fleet is
-	// given to follow, and callers are served by rules that were replaced.
-	it('has what was published at the end of a silence within the time allowed', async () => {
+	// Guards against a read that begins while the platform does not respond and hangs after its recovery: callers would
+	// be served by replaced rules for longer than the maximum delay.
+	it('receives a version published at the end of a silence within the maximum delay', async () => {
 		for (let lengthMs = 500; lengthMs <= 30_000; lengthMs += 500) {
 			const delayMs = await measureDelay({ fromMs: 12_000, toMs: 12_000 + lengthMs });
 			expect(delayMs).toBeLessThanOrEqual(maxDelayMs);
@@ -117,7 +116,7 @@
 	});
 });
 
-/** Milliseconds from the end of a silence, when version 2 is published, until a follower has it. */
+/** Returns the milliseconds from the end of a silence, when version 2 is published, until a follower receives it. */
 async function measureDelay(silence: Silence): Promise<number> {
 	const timers = new ManualTimerService();
 	const publisher = new SilentPublisher(timers, silence);
--- a/src/core/following/test/silentPublisher.ts
+++ b/src/core/following/test/silentPublisher.ts
@@ -1,12 +1,12 @@
 /**
- * A publisher in virtual time that falls silent once, for followers to be tried on: reads that hang when the
- * silence begins and reads that are made in it never get an answer, not even after it. Something new is
- * published at the moment in which the silence ends.
+ * A server for long polling on a virtual clock that does not respond during one period, for tests of followers. Reads
+ * that are waiting when the period begins and reads made during it are never answered, not even later. A new version is
+ * published when the period ends.
  */
 
 import type { ManualTimerService } from '../../../base/common/manualTimerService';
 
-/** Milliseconds of the virtual clock. */
+/** Period without responses, in milliseconds of the virtual clock. */
 export interface Silence {
 	readonly fromMs: number;
 	readonly toMs: number;
@@ -14,7 +14,7 @@
 
 export class SilentPublisher {
 	private readonly openReads = new Set<() => void>();
-	/** 1, and 2 from the end of the silence on. */
+	/** 1 before the end of the silence, and 2 afterwards. */
 	version = 1;
 
 	constructor(
@@ -29,7 +29,7 @@
 		});
 	}
 
-	/** A read that ends with news, or after `waitMs` without; one that meets the silence never ends. */
+	/** Resolves when there is a version above `after` or `waitMs` have passed; never resolves if the silence intervenes. */
 	async read(after: number, waitMs: number): Promise<void> {
 		await new Promise<void>(resolve => {
 			if (this.isSilent()) {
--- a/src/core/instances/common/instanceLifecycle.ts
+++ b/src/core/instances/common/instanceLifecycle.ts
@@ -1,12 +1,12 @@
 /**
- * The life of one start of one entry instance as another sees it. A start that has said that it is leaving
- * never comes back: what could come back is another start, which has a life of its own. Silence alone
- * never means that an instance is dead, since a partition looks the same from here; it is `suspect`, gets
- * no new callers, and tickets that it issued are still forwarded to it.
+ * Lifecycle of one boot (one start of the process) of another entry instance, as this process sees it. A boot that has
+ * announced that it is leaving never becomes live again; a restarted instance has another boot with its own lifecycle.
+ * Missing reports alone do not prove that an instance is down, since a network partition looks the same. Such an
+ * instance is `suspect` and gets no new callers, but tickets that it issued are still forwarded to it.
  *
- * The instance list names instances, not their starts, and it lags: `leaving` on it may mean the start
- * before this one. If that stuck, an instance restarted in place would stay out until its next restart. So
- * the list's word holds only for as long as the list says it, and its own word for good.
+ * The instance list contains instances, not boots, and it lags: `leaving` in the list may refer to the previous boot. If
+ * this state were permanent, an instance restarted in place would get no callers until its next restart. The state in
+ * the list therefore applies only while the list contains it, whereas an instance's own announcement is final.
  */
 
 import chartFile from '../../../../charts/instance.json';
@@ -14,41 +14,45 @@
 
 export enum InstanceState {
 	Live = 'live',
-	/** Nothing was heard of it lately. */
+	/** No recent report was received. */
 	Suspect = 'suspect',
-	/** The list alone says that it is leaving. */
+	/** Only the instance list marks the instance as leaving. */
 	ListedLeaving = 'listedLeaving',
-	/** It said itself that it is leaving. */
+	/** The instance announced that it is leaving. */
 	Leaving = 'leaving',
-	/** Nothing was heard of it for long. */
+	/** The boot was replaced, or no report was received for a long time. */
 	Gone = 'gone',
 }
 
 export enum InstanceEvent {
+	/** A report was received. */
 	Hear = 'Hear',
+	/** No report was received for `suspectAfterMs`. */
 	Miss = 'Miss',
 	ListLeaving = 'ListLeaving',
 	ListLive = 'ListLive',
 	Leave = 'Leave',
+	/** The boot was replaced, or no report was received for `removeAfterMs`. */
 	Forget = 'Forget',
 }
 
 export const instanceChart = new TypedChart(chartFile, InstanceState, InstanceEvent);
 
-/** How long an instance may be silent, in milliseconds. */
+/** Times without a report after which an instance changes its state, in milliseconds. */
 export interface SilenceTimeouts {
 	readonly suspectAfterMs: number;
 	readonly removeAfterMs: number;
 }
 
-/** A change of state with what led to it. */
+/** A change of state with its cause. */
 export interface InstanceChange {
 	readonly from: InstanceState;
 	readonly to: InstanceState;
+	/** What caused the change, for the audit trail. */
 	readonly sign: string;
 }
 
-/** One start's life; times are monotonic milliseconds of the process that keeps it. */
+/** State machine of one boot; times are monotonic milliseconds of this process. */
 export class InstanceLifecycle {
 	private readonly stateMachine = new TypedStateMachine(instanceChart);
 
@@ -62,12 +66,12 @@
 		return this.stateMachine.getState();
 	}
 
-	/** When it was last known to speak. */
+	/** When the instance created its latest known report. */
 	getLastReportMs(): number {
 		return this.lastReportMs;
 	}
 
-	/** It spoke at `spokeMs`, which lies back by the age of the view that tells it. */
+	/** Applies a report that the instance created at `reportedMs`, which is before now by the age of the report. */
 	noteReport(reportedMs: number, isLeaving: boolean, sign: string): void {
 		if (reportedMs > this.lastReportMs) {
 			this.lastReportMs = reportedMs;
@@ -78,17 +82,17 @@
 		}
 	}
 
-	/** The instance list arrived. Live again on it is `suspect` until the next word of its own. */
+	/** Applies the state in the instance list. An instance listed as live again is `suspect` until its next report. */
 	noteListed(isLeaving: boolean): void {
 		this.applyEvent(isLeaving ? InstanceEvent.ListLeaving : InstanceEvent.ListLive, 'instance list');
 	}
 
-	/** The process that keeps this life slept: what was not heard meanwhile does not count as silence. */
+	/** Excludes a pause of this process, in which it could not receive reports, from the time without a report. */
 	noteProcessPause(pausedMs: number): void {
 		this.lastReportMs += pausedMs;
 	}
 
-	/** Judges its silence. */
+	/** Applies the timeouts for missing reports. */
 	expire(nowMs: number): void {
 		const silentMs = nowMs - this.lastReportMs;
 		if (silentMs >= this.timeouts.removeAfterMs) {
@@ -98,7 +102,7 @@
 		}
 	}
 
-	/** Another start of the instance answers at its address, so this one has ended. */
+	/** Ends the lifecycle, for example because another boot of the instance uses the same address. */
 	end(sign: string): void {
 		this.applyEvent(InstanceEvent.Forget, sign);
 	}
--- a/src/core/instances/common/instanceLifecycles.ts
+++ b/src/core/instances/common/instanceLifecycles.ts
@@ -1,10 +1,10 @@
 /**
- * The lives of the other entry instances. A life belongs to one boot: a process that was frozen and wakes
- * after its instance was replaced speaks under the same name, and if both shared a life, the sleeper's old
- * word would overwrite its replacement's.
+ * Lifecycles of the other entry instances, one for each boot. A process that was frozen and resumes after its instance
+ * was replaced reports under the same instance id. If both boots shared a lifecycle, the outdated report would overwrite
+ * that of the replacement.
  *
- * A process that was frozen itself has heard nothing meanwhile, and its first look at the clock would
- * declare the whole fleet gone. The time that it slept is therefore not counted as the others' silence.
+ * A process that was paused itself received no reports meanwhile, and its first check afterwards would remove all other
+ * instances. The duration of the pause is therefore not counted as time without a report.
  */
 
 import type { Stream } from 'most';
@@ -16,18 +16,18 @@
 import type { InstanceChange, SilenceTimeouts } from './instanceLifecycle';
 import { InstanceLifecycle, InstanceState } from './instanceLifecycle';
 
-/** What a view tells of the life of the instance that spoke it. */
+/** The part of an instance's view that concerns its lifecycle. */
 export interface InstanceReport {
 	readonly instance: InstanceId;
 	readonly boot: BootId;
-	/** Where it answers other entries; two boots at one address cannot both be alive. */
+	/** Address at which the instance serves other entries; two boots at one address cannot both be running. */
 	readonly peerUrl: string;
 	readonly isLeaving: boolean;
-	/** Milliseconds since it spoke. */
+	/** Milliseconds since the instance created the report. */
 	readonly ageMs: number;
 }
 
-/** One boot with its life. */
+/** A boot with its lifecycle. */
 export interface KnownInstance {
 	readonly instance: InstanceId;
 	readonly boot: BootId;
@@ -35,17 +35,17 @@
 	readonly lifecycle: InstanceLifecycle;
 }
 
-/** Views are exchanged about once a second; three missed ones are more than a lost packet. */
+/** Views are exchanged about once a second; three missing ones are more than a lost packet. */
 export const defaultSilenceTimeouts: SilenceTimeouts = { suspectAfterMs: 3_500, removeAfterMs: 120_000 };
 
-/** Owns one life for each boot of each other instance. */
+/** Keeps a lifecycle for each boot of the other instances. */
 export class InstanceLifecycles extends Disposable {
 	private readonly channel = this.register(new Channel<InstanceId>());
 	private readonly knownBoots = new Map<BootId, KnownInstance>();
-	/** When boots that are gone were last heard; echoes of them that still go round are not believed. */
+	/** Time of the last report of each boot that is gone; reports of these boots that peers still forward are ignored. */
 	private readonly endedBoots = new Map<BootId, number>();
 
-	/** The id of each instance one of whose boots changed its state. */
+	/** Emits the instance id when one of its boots changes its state. */
 	readonly onDidChange: Stream<InstanceId> = this.channel.stream;
 
 	constructor(
@@ -55,7 +55,7 @@
 		super();
 	}
 
-	/** A view arrived, from the instance itself or through another one. */
+	/** Applies a report received from the instance itself or through a peer. */
 	noteReport(report: InstanceReport, sign: string, nowMs: number): void {
 		if (this.endedBoots.has(report.boot) || report.ageMs >= this.timeouts.removeAfterMs) {
 			return;
@@ -65,24 +65,24 @@
 		known.lifecycle.noteReport(reportedMs, report.isLeaving, sign);
 	}
 
-	/** The instance list names an instance as leaving; it speaks of the boots already known. */
+	/** Marks the known boots of an instance as leaving according to the instance list. */
 	noteListedLeaving(instance: InstanceId): void {
 		this.noteListed(instance, true);
 	}
 
-	/** The instance list names an instance as live. */
+	/** Marks the known boots of an instance as live according to the instance list. */
 	noteListedLive(instance: InstanceId): void {
 		this.noteListed(instance, false);
 	}
 
-	/** This process slept for `sleptMs` beyond a tick's period; call before `expire`. */
+	/** Records that this process was paused for `pausedMs` beyond a timer period; call before `expire`. */
 	noteProcessPause(pausedMs: number): void {
 		for (const known of this.knownBoots.values()) {
 			known.lifecycle.noteProcessPause(pausedMs);
 		}
 	}
 
-	/** Judges silence; call about once a second. */
+	/** Applies the timeouts for missing reports; call about once a second. */
 	expire(nowMs: number): void {
 		for (const known of [...this.knownBoots.values()]) {
 			known.lifecycle.expire(nowMs);
@@ -94,7 +94,7 @@
 		}
 	}
 
-	/** The boot of an instance that was heard last, or undefined. */
+	/** Returns the boot of an instance with the latest report, or undefined. */
 	findLastReported(instance: InstanceId): KnownInstance | undefined {
 		return this.listBoots(instance).reduce<KnownInstance | undefined>(
 			(newest, known) =>
@@ -109,7 +109,7 @@
 		return this.knownBoots.get(boot);
 	}
 
-	/** Boots that take new callers. */
+	/** Returns the boots that accept new callers. */
 	listLive(): readonly KnownInstance[] {
 		return [...this.knownBoots.values()].filter(known => known.lifecycle.getState() === InstanceState.Live);
 	}
--- a/src/core/instances/test/instanceLifecycles.test.ts
+++ b/src/core/instances/test/instanceLifecycles.test.ts
@@ -19,23 +19,23 @@
 	return { instance, boot: boot as BootId, peerUrl, isLeaving: false, ageMs: 0, ...more };
 }
 
-function getState(lives: InstanceLifecycles, boot: string): InstanceState | undefined {
-	return lives.findBoot(boot as BootId)?.lifecycle.getState();
+function getState(lifecycles: InstanceLifecycles, boot: string): InstanceState | undefined {
+	return lifecycles.findBoot(boot as BootId)?.lifecycle.getState();
 }
 
-/** What the property finds wrong, or undefined where it holds. */
+/** Returns the violation of the property that fast-check finds, or undefined. */
 function findViolation(createSubject: () => InstanceLifecycles): string | undefined {
 	const view = fc.record({ ageMs: fc.nat(70_000), isLeaving: fc.boolean(), waitMs: fc.nat(10_000) });
 	const property = fc.property(fc.array(view), views => {
-		const lives = createSubject();
+		const lifecycles = createSubject();
 		let isLeaving = false;
 		let nowMs = 0;
 		for (const { waitMs, ...one } of views) {
 			nowMs += waitMs;
-			lives.noteReport(createReport('b1', one), 'peer', nowMs);
+			lifecycles.noteReport(createReport('b1', one), 'peer', nowMs);
 			isLeaving ||= one.isLeaving && one.ageMs < timeouts.removeAfterMs;
-			if (isLeaving && lives.listLive().length > 0) {
-				throw new Error('a leaving boot is named');
+			if (isLeaving && lifecycles.listLive().length > 0) {
+				throw new Error('a leaving boot is listed as live');
 			}
 		}
 	});
@@ -43,92 +43,92 @@
 	return failed ? String(errorInstance) : undefined;
 }
 
-/** Forgets what a boot said before its newest view. */
+/** Faulty implementation that ignores earlier reports of a boot. */
 class NewestViewLifecycles extends InstanceLifecycles {
-	override noteReport(...[heard, sign, nowMs]: Parameters<InstanceLifecycles['noteReport']>): void {
-		this.findBoot(heard.boot)?.lifecycle.end('overwritten');
-		super.noteReport({ ...heard, boot: `${heard.boot}.${nowMs}` as BootId }, sign, nowMs);
+	override noteReport(...[report, sign, nowMs]: Parameters<InstanceLifecycles['noteReport']>): void {
+		this.findBoot(report.boot)?.lifecycle.end('overwritten');
+		super.noteReport({ ...report, boot: `${report.boot}.${nowMs}` as BootId }, sign, nowMs);
 	}
 }
 
-describe('InstanceLives', () => {
-	// An entry that is stopping says so once, and views from before go round for a while. Believed, they
-	// would send callers to it until it is gone.
-	it('never takes a boot back that said it was leaving, whatever order its views arrive in', () => {
+describe('InstanceLifecycles', () => {
+	// Guards against using an entry that announced its stop because older reports of it arrive later through peers.
+	it('keeps a boot that announced its leaving out of use, in any order of reports', () => {
 		expect(findViolation(createLifecycles)).toBeUndefined();
 	});
 
-	it('is found wrong if the newest view alone counts', () => {
+	it('fails the property if only the newest report counts', () => {
 		expect(findViolation(() => new NewestViewLifecycles(trail, timeouts))).toContain(
-			'a leaving boot is named',
+			'a leaving boot is listed as live',
 		);
 	});
 
-	it('suspects a silent instance, hears it again, and forgets it at last', () => {
-		const lives = createLifecycles();
-		lives.noteReport(createReport('b1'), 'peer', 0);
-		lives.expire(3_000);
-		lives.noteReport(createReport('b1', { ageMs: 3_500 }), 'peer', 3_050);
-		expect(getState(lives, 'b1')).toBe(InstanceState.Suspect);
-		lives.noteReport(createReport('b1', { ageMs: 100 }), 'peer', 3_100);
-		expect(getState(lives, 'b1')).toBe(InstanceState.Live);
-		lives.expire(63_000);
-		expect(getState(lives, 'b1')).toBeUndefined();
-		lives.expire(63_100);
-		lives.noteReport(createReport('b1'), 'peer', 63_200);
-		expect(getState(lives, 'b1')).toBe(InstanceState.Live);
+	it('suspects an instance without reports, accepts a newer report, and removes it after the timeout', () => {
+		const lifecycles = createLifecycles();
+		lifecycles.noteReport(createReport('b1'), 'peer', 0);
+		lifecycles.expire(3_000);
+		lifecycles.noteReport(createReport('b1', { ageMs: 3_500 }), 'peer', 3_050);
+		expect(getState(lifecycles, 'b1')).toBe(InstanceState.Suspect);
+		lifecycles.noteReport(createReport('b1', { ageMs: 100 }), 'peer', 3_100);
+		expect(getState(lifecycles, 'b1')).toBe(InstanceState.Live);
+		lifecycles.expire(63_000);
+		expect(getState(lifecycles, 'b1')).toBeUndefined();
+		lifecycles.expire(63_100);
+		lifecycles.noteReport(createReport('b1'), 'peer', 63_200);
+		expect(getState(lifecycles, 'b1')).toBe(InstanceState.Live);
 	});
 
-	// An instance restarts at its address; a view of its earlier boot still goes round. Without boots of
-	// their own, the old word `leaving` would take the new one out.
-	it('ends the boot before at the same address and ignores its echoes', () => {
-		const lives = createLifecycles();
-		lives.noteReport(createReport('b1'), 'peer', 0);
-		lives.noteReport(createReport('b2'), 'peer', 1_000);
-		lives.noteReport(createReport('b1', { ageMs: 1_500, isLeaving: true }), 'peer', 2_000);
-		expect([getState(lives, 'b1'), getState(lives, 'b2')]).toEqual([undefined, InstanceState.Live]);
-		expect(lives.findLastReported(instance)?.boot).toBe('b2');
+	// Guards against applying `leaving` from an outdated report of the previous boot to an instance that restarted at the
+	// same address.
+	it('ends the previous boot at the same address and ignores its later reports', () => {
+		const lifecycles = createLifecycles();
+		lifecycles.noteReport(createReport('b1'), 'peer', 0);
+		lifecycles.noteReport(createReport('b2'), 'peer', 1_000);
+		lifecycles.noteReport(createReport('b1', { ageMs: 1_500, isLeaving: true }), 'peer', 2_000);
+		expect([getState(lifecycles, 'b1'), getState(lifecycles, 'b2')]).toEqual([undefined, InstanceState.Live]);
+		expect(lifecycles.findLastReported(instance)?.boot).toBe('b2');
 	});
 
-	// A frozen process wakes under the name of its replacement, at an address of its own.
-	it('keeps a sleeper and its replacement apart', () => {
-		const lives = createLifecycles();
-		lives.noteReport(createReport('b2'), 'peer', 1_000);
-		lives.noteReport(
+	// Guards against mixing a frozen process that resumes with its replacement, which has the same instance id and another
+	// address.
+	it('keeps separate lifecycles for a resumed process and its replacement', () => {
+		const lifecycles = createLifecycles();
+		lifecycles.noteReport(createReport('b2'), 'peer', 1_000);
+		lifecycles.noteReport(
 			createReport('b1', { peerUrl: 'http://127.0.0.2:7001', isLeaving: true }),
 			'peer',
 			2_000,
 		);
-		expect([getState(lives, 'b1'), getState(lives, 'b2')]).toEqual([
+		expect([getState(lifecycles, 'b1'), getState(lifecycles, 'b2')]).toEqual([
 			InstanceState.Leaving,
 			InstanceState.Live,
 		]);
 	});
 
-	// An instance is restarted in place, and the late list now says `leaving` of the start before. Taken for
-	// good, the new start would get no callers until its next restart.
-	it('believes the list for as long as it says leaving, and an own word for good', () => {
-		const lives = createLifecycles();
-		lives.noteReport(createReport('b2'), 'peer', 0);
-		lives.noteListedLeaving(instance);
-		lives.noteReport(createReport('b2'), 'peer', 1_000);
-		expect(getState(lives, 'b2')).toBe(InstanceState.ListedLeaving);
-		lives.noteListedLive(instance);
-		lives.noteReport(createReport('b2'), 'peer', 2_000);
-		expect(getState(lives, 'b2')).toBe(InstanceState.Live);
-		lives.noteReport(createReport('b2', { isLeaving: true }), 'peer', 3_000);
-		lives.noteListedLive(instance);
-		lives.noteReport(createReport('b2'), 'peer', 4_000);
-		expect(getState(lives, 'b2')).toBe(InstanceState.Leaving);
+	// Guards against a restarted instance that gets no callers until its next restart because the instance list still
+	// contains the `leaving` state of the previous boot.
+	it('applies leaving from the list only while it is listed, and from the instance itself permanently', () => {
+		const lifecycles = createLifecycles();
+		lifecycles.noteReport(createReport('b2'), 'peer', 0);
+		lifecycles.noteListedLeaving(instance);
+		lifecycles.noteReport(createReport('b2'), 'peer', 1_000);
+		expect(getState(lifecycles, 'b2')).toBe(InstanceState.ListedLeaving);
+		lifecycles.noteListedLive(instance);
+		lifecycles.noteReport(createReport('b2'), 'peer', 2_000);
+		expect(getState(lifecycles, 'b2')).toBe(InstanceState.Live);
+		lifecycles.noteReport(createReport('b2', { isLeaving: true }), 'peer', 3_000);
+		lifecycles.noteListedLive(instance);
+		lifecycles.noteReport(createReport('b2'), 'peer', 4_000);
+		expect(getState(lifecycles, 'b2')).toBe(InstanceState.Leaving);
 	});
 
-	// This process is frozen for two minutes. On waking, everyone seems to have been silent for so long,
-	// and it would refuse every forwarded ticket until it heard from them again.
-	it('does not take its own sleep for the silence of the others', () => {
-		const lives = createLifecycles();
-		lives.noteReport(createReport('b1'), 'peer', 0);
-		lives.noteProcessPause(120_000);
-		lives.expire(121_000);
-		expect(getState(lives, 'b1')).toBe(InstanceState.Live);
+	// Guards against removing all other instances after this process was frozen for two minutes: it would refuse every
+	// forwarded ticket until it received new reports.
+	it('does not count a pause of its own process as time without a report', () => {
+		const lifecycles = createLifecycles();
+		lifecycles.noteReport(createReport('b1'), 'peer', 0);
+		lifecycles.noteProcessPause(120_000);
+		lifecycles.expire(121_000);
+		expect(getState(lifecycles, 'b1')).toBe(InstanceState.Live);
 	});
 });
--- a/src/core/manifest/common/manifest.ts
+++ b/src/core/manifest/common/manifest.ts
@@ -1,7 +1,7 @@
 /**
- * The manifest: the operators' single statement of what should be running, made by their build pipeline.
- * The schema here is the only reader of it; `anvilroadctl check manifest` and every entry use the same
- * one. A manifest is accepted whole or not at all, with every fault named by its place.
+ * The manifest: the operators' description of what should be running, created by their build pipeline. It is parsed only
+ * with this schema, both by `anvilroadctl check manifest` and by every entry. A manifest is accepted as a whole or
+ * rejected with all errors and their places in the document.
  */
 
 import type { Result } from 'neverthrow';
@@ -19,9 +19,9 @@
 import { callerLimitsSchema, routeSchema } from './routes';
 import { createNameSchema, milliseconds } from './schemas';
 
-/** What a service's targets are. */
+/** Kind of a service's targets. */
 export enum ServiceKind {
-	/** A model engine: batches continuously, caches prefixes, streams. */
+	/** An inference engine with continuous batching, prefix caching and streamed answers. */
 	Engine = 'engine',
 	/** Any other HTTP service. */
 	Plain = 'plain',
@@ -29,16 +29,16 @@
 
 /** How often a call may be sent to targets. */
 export enum RepeatRule {
-	/** May be retried: running it twice does what running it once does. */
+	/** May be retried: running the call twice has the same effect as running it once. */
 	Idempotent = 'idempotent',
-	/** Payments and the like: needs a ticket and is never sent a second time. */
+	/** Requires a ticket and is never sent a second time, for calls such as payments. */
 	AtMostOnce = 'at-most-once',
 }
 
 /** What happens to an at-most-once call without a ticket. */
 export enum UnticketedRule {
 	Refuse = 'refuse',
-	/** Run it once; the caller's own resends are then not guarded. */
+	/** The call is run once; repetitions by the caller are not detected. */
 	RunOnce = 'run-once',
 }
 
@@ -50,14 +50,14 @@
 	Any = 'any',
 }
 
-/** What a target is asked to do. */
+/** Role of a target. */
 export enum TargetRole {
 	Serve = 'serve',
-	/** Keeps its models but takes no requests. */
+	/** Keeps its models loaded but receives no requests. */
 	Standby = 'standby',
 }
 
-/** What the manifest wants of a target's place in the fleet. */
+/** Whether a target should stay in service or leave. */
 export enum TargetIntent {
 	Live = 'live',
 	Leaving = 'leaving',
@@ -73,14 +73,14 @@
 	between: z.tuple([createNameSchema<RegionName>(), createNameSchema<RegionName>()]),
 	oneWayMs: z.number().nonnegative(),
 	megabitsPerSecond: z.number().positive(),
-	/** The part of the link that requests sent away may fill. */
+	/** Percentage of the link's bandwidth that requests sent to another region may use. */
 	sharePercent: z.number().min(0).max(100).default(50),
 });
 
 const organisationSchema = z.strictObject({
 	name: createNameSchema<OrganisationName>(),
 	home: createNameSchema<RegionName>(),
-	/** Share of a full service relative to other organisations. */
+	/** Share of a fully loaded service relative to other organisations. */
 	weight: z.number().positive().default(1),
 });
 
@@ -92,18 +92,18 @@
 });
 
 const classSchema = z.strictObject({
-	/** Deadline of requests that carry none. */
+	/** Deadline of requests that specify none. */
 	defaultDeadlineMs: milliseconds,
-	/** The longest silence before the first byte of an answer. */
+	/** Maximum time until the first byte of an answer. */
 	firstByteMs: milliseconds,
-	/** The longest silence between two bytes of an answer. */
+	/** Maximum time between two bytes of an answer. */
 	idleMs: milliseconds,
 });
 
 const callRuleSchema = z.strictObject({
 	/** HTTP method, or `*`. */
-	method: z.string().regex(/^(\*|[A-Z]+)$/, 'is neither * nor a method in capitals'),
-	/** Path below the service; a trailing `*` matches any rest. */
+	method: z.string().regex(/^(\*|[A-Z]+)$/, 'must be * or an HTTP method in upper case'),
+	/** Path below the service; a trailing `*` matches any suffix. */
 	path: z.string().startsWith('/'),
 	repeat: z.enum(RepeatRule),
 	residency: z.enum(ResidencyRule).optional(),
@@ -117,14 +117,14 @@
 };
 
 const promptCacheSchema = z.strictObject({
-	/** Tokens of prompts and answers that fit into one target's memory. */
+	/** Number of tokens of prompts and answers that one target can cache. */
 	tokens: z.number().int().positive(),
 });
 
 const warmUpSchema = z.strictObject({
 	/** How long a target is cold after its start. */
 	durationMs: z.number().nonnegative(),
-	/** Requests a second that a cold target takes from all entries together. */
+	/** Requests per second that a cold target accepts from all entries together. */
 	requestsPerSecond: z.number().nonnegative(),
 });
 
@@ -143,11 +143,11 @@
 			[RequestClass.Draft]: classSchema,
 		})
 		.default(defaultClasses),
-	/** Requests that one target of the service runs at a time, where the target does not say. */
+	/** Number of requests that a target runs concurrently, unless the target specifies it. */
 	slotsPerTarget: z.number().int().positive().default(8),
-	/** What a target of the service holds of prompts, where it is an engine that caches them. */
+	/** Size of a target's prompt cache, for engines that cache prompts. */
 	promptCache: promptCacheSchema.optional(),
-	/** How targets that have just started are spared. */
+	/** Limits of the load on targets that have just started. */
 	warmUp: warmUpSchema.optional(),
 });
 
@@ -160,9 +160,9 @@
 	url: z.url({ protocol: /^https?$/ }),
 	role: z.enum(TargetRole).default(TargetRole.Serve),
 	intent: z.enum(TargetIntent).default(TargetIntent.Live),
-	/** Whether the target refuses an order that carries an old fencing number. */
+	/** Whether the target rejects an order with an outdated fencing token. */
 	checksFencing: z.boolean().default(false),
-	/** Requests it runs at a time; the service's `slotsPerTarget` where left out. */
+	/** Number of requests that the target runs concurrently; defaults to the service's `slotsPerTarget`. */
 	slots: z.number().int().positive().optional(),
 });
 
@@ -173,9 +173,9 @@
 	models: z.array(modelSchema).default([]),
 	services: z.array(serviceSchema).min(1),
 	targets: z.array(targetSchema).default([]),
-	/** Which requests go where, for callers that know hosts and paths. */
+	/** Routes for callers that address services by host and path. */
 	routes: z.array(routeSchema).default([]),
-	/** Bounds of what callers may send; the entry's settings hold where left out. */
+	/** Limits of callers' requests; defaults to the entry's settings. */
 	callerLimits: callerLimitsSchema.optional(),
 });
 
@@ -189,7 +189,7 @@
 export type ManifestCallRule = ManifestService['rules'][number];
 export type ManifestClassLimits = ManifestService['classes'][RequestClass];
 
-/** One fault of a document, with its place as a path such as `services[2].rules[0].path`. */
+/** An error in a document, with its place as a path such as `services[2].rules[0].path`. */
 export interface ValidationIssue {
 	readonly place: string;
 	readonly problem: string;
@@ -209,7 +209,7 @@
 	const issues: ValidationIssue[] = [];
 	for (const [index, name] of names.entries()) {
 		if (seen.has(name)) {
-			issues.push({ place: `${place}[${index}]`, problem: `${name} stands twice` });
+			issues.push({ place: `${place}[${index}]`, problem: `${name} is defined more than once` });
 		}
 		seen.add(name);
 	}
@@ -227,7 +227,7 @@
 	return [{ place, problem: `${name} is not defined in this manifest` }];
 }
 
-/** Checks what the schema cannot: that names are unique and that every reference leads somewhere. */
+/** Checks what the schema does not: that names are unique and that every reference is defined. */
 function findReferenceIssues(manifest: Manifest): ValidationIssue[] {
 	const regions = new Set<string>(manifest.regions.map(region => region.name));
 	const models = new Set<string>(manifest.models.map(model => model.name));
@@ -273,7 +273,7 @@
 	];
 }
 
-/** Checks a parsed JSON document; every fault is given, in the order of the document. */
+/** Checks a parsed JSON document; returns all errors of the schema, or all errors of names and references. */
 export function checkManifest(document: unknown): Result<Manifest, readonly ValidationIssue[]> {
 	const parsed = manifestSchema.safeParse(document);
 	if (!parsed.success) {
@@ -283,8 +283,8 @@
 		}));
 		return err(issues);
 	}
-	const faults = findReferenceIssues(parsed.data);
-	return faults.length > 0 ? err(faults) : ok(parsed.data);
+	const referenceIssues = findReferenceIssues(parsed.data);
+	return referenceIssues.length > 0 ? err(referenceIssues) : ok(parsed.data);
 }
 
 /** Parses and checks the text of a manifest. */
--- a/src/core/manifest/common/manifestHolder.ts
+++ b/src/core/manifest/common/manifestHolder.ts
@@ -1,13 +1,13 @@
 /**
- * The manifest in force at one process, and the only place that changes it. Versions arrive from the
- * platform and from peers, late, twice and in any order: a platform that was restored from a backup offers
- * an old version after a new one, and an instance that was frozen offers what it held before. Only the
- * platform's version orders them, so an offer is taken if it parses, passes every check and is strictly
- * higher than what is in force; nothing else, arrival time least of all, can put an older one back.
+ * Holds the manifest in force in this process, and is the only code that changes it. Versions arrive from the platform
+ * and from peers late, repeatedly and in any order: a platform that was restored from a backup offers an old version
+ * after a new one, and an instance that was frozen offers the version that it had before. Only the platform's version
+ * number determines the order. An offered document comes into force if it is valid and its version is strictly higher
+ * than the one in force. The time of arrival has no influence, so an older version never replaces a newer one.
  *
- * Two documents with one version mean that two pipelines published at once. Neither is newer; this process
- * keeps what it has, since changing to and fro between them would be worse than either, and reports it.
- * The next version ends the disagreement.
+ * Two documents with the same version mean that two pipelines published at the same time. Neither is newer. This process
+ * keeps the one that it has, since alternating between them would be worse than either, and reports the conflict. The
+ * next version resolves it.
  */
 
 import type { Stream } from 'most';
@@ -21,17 +21,17 @@
 import type { ValidationIssue, Manifest } from './manifest';
 import { parseManifest } from './manifest';
 
-/** The life of one offered document. */
+/** States of an offered document. */
 export enum ManifestState {
 	Offered = 'offered',
 	Checking = 'checking',
 	InForce = 'inForce',
 	Replaced = 'replaced',
-	/** Not higher than what is in force. */
+	/** The version is lower than the one in force, or the document is in force already. */
 	PassedOver = 'passedOver',
-	/** The version in force with another document. */
+	/** The version is in force with another document. */
 	Conflicting = 'conflicting',
-	/** Higher, and faulty. */
+	/** The version is higher, but the document or its version is not valid. */
 	Invalid = 'invalid',
 }
 
@@ -39,7 +39,7 @@
 	Lower = 'Lower',
 	Same = 'Same',
 	Conflict = 'Conflict',
-	/** The same document was found faulty before. */
+	/** The same document was rejected before. */
 	Known = 'Known',
 	Higher = 'Higher',
 	Pass = 'Pass',
@@ -49,12 +49,12 @@
 
 export const manifestChart = new TypedChart(chartFile, ManifestState, ManifestEvent);
 
-/** A document as the platform or a peer gives it; nothing in it is trusted. */
+/** A document received from the platform or a peer, not yet validated. */
 export interface ManifestOffer {
 	readonly version: number;
-	/** The document as the platform published it, byte for byte. */
+	/** The document exactly as the platform published it. */
 	readonly document: string;
-	/** Who gave it: `platform`, `peer entry-2`. */
+	/** Sender of the document, such as `platform` or `peer entry-2`. */
 	readonly source: string;
 }
 
@@ -62,16 +62,16 @@
 export interface AcceptedManifest {
 	readonly version: ManifestVersion;
 	readonly digest: string;
-	/** Kept to be given to peers unchanged. */
+	/** The original document, which is sent to peers unchanged. */
 	readonly document: string;
 	readonly manifest: Manifest;
 	readonly source: string;
 }
 
-/** A hash of a document, equal on every instance. */
+/** Computes a hash of a document that is the same on every instance. */
 export type DigestFunction = (document: string) => string;
 
-/** Gives the manifest in force and its changes. */
+/** Provides the manifest in force and its changes. */
 export interface IManifestHolder {
 	readonly onDidAccept: Stream<AcceptedManifest>;
 	getCurrent(): AcceptedManifest | undefined;
@@ -83,10 +83,10 @@
 	readonly accepted: AcceptedManifest;
 }
 
-/** Faulty and conflicting documents remembered, so that a repeat costs no parse and no audit record. */
+/** Maximum number of rejected documents that are kept, so that repeated offers are not parsed and audited again. */
 const maxReportedDocuments = 64;
 
-/** Faults written to the audit trail for one document; `anvilroadctl check` names them all. */
+/** Maximum number of errors of a document in its audit record; `anvilroadctl check` prints all of them. */
 const maxRecordedIssues = 3;
 
 function formatVersion(version: number | undefined): string {
@@ -98,14 +98,14 @@
 	return `${issues.length} faults: ${listed.join('; ')}`;
 }
 
-/** Holds the manifest in force. */
+/** Holds the manifest in force and the state machine of its document. */
 export class ManifestHolder extends Disposable implements IManifestHolder {
 	private readonly channel = this.register(new Channel<AcceptedManifest>());
 	private readonly counts = new Map<ManifestState, number>();
 	private readonly reportedDocuments = new Set<string>();
 	private current: HeldManifest | undefined;
 
-	/** Each manifest that comes into force, once, in rising order of versions. */
+	/** Emits each manifest that comes into force once, in ascending order of versions. */
 	readonly onDidAccept = this.channel.stream;
 
 	constructor(
@@ -119,12 +119,12 @@
 		return this.current?.accepted;
 	}
 
-	/** Offers that ended in a state, since the start. */
+	/** Returns the number of offers since the start for which `submit` returned `state`. */
 	countOffers(state: ManifestState): number {
 		return this.counts.get(state) ?? 0;
 	}
 
-	/** Takes a document that the platform or a peer gave, and says what became of it. */
+	/** Checks an offered document, puts it in force if it is valid and newer, and returns its state. */
 	submit(offer: ManifestOffer): ManifestState {
 		const stateMachine = new TypedStateMachine(manifestChart);
 		const state = this.decide(stateMachine, offer);
--- a/src/core/manifest/common/routes.ts
+++ b/src/core/manifest/common/routes.ts
@@ -1,19 +1,19 @@
 /**
- * Routes: which requests, by host and path, go to which services and under which rules. A route speaks of
- * what callers are promised; how the promise is kept is decided elsewhere.
+ * Routes: which requests, by host and path, go to which services and under which rules. A route describes the service
+ * level for callers; scheduling and retries are implemented elsewhere.
  */
 
 import { z } from 'zod';
 import type { RegionName, RouteName, ServiceName } from '../../ids/common/ids';
 import { createNameSchema, milliseconds } from './schemas';
 
-/** What a route's requests are, and so how often one of them may be run. */
+/** Kind of a route's requests, which determines how often a request may be run. */
 export enum RouteKind {
 	/** May run more than once. */
 	Idempotent = 'idempotent',
-	/** Runs once at the most, whatever becomes of its answer. */
+	/** Runs at most once, even if its answer is lost. */
 	AtMostOnce = 'at-most-once',
-	/** Answered by a stream of events; runs once at the most unless it is resumable. */
+	/** Answered by a stream of events; runs at most once unless it is resumable. */
 	Stream = 'stream',
 }
 
@@ -28,24 +28,24 @@
 
 export const routeSchema = z.strictObject({
 	name: createNameSchema<RouteName>(),
-	/** Matched without regard to case and without a port. */
+	/** Host name without a port; matching is not case-sensitive. */
 	host: z.string().min(1).max(maxHostLength).toLowerCase(),
-	/** The longest prefix of a host that begins a path selects the route. */
-	pathPrefix: z.string().regex(/^\/(.*\/)?$/, 'neither begins nor ends with a slash'),
+	/** The route of a host with the longest matching prefix of the path is selected. */
+	pathPrefix: z.string().regex(/^\/(.*\/)?$/, 'must begin and end with a slash'),
 	kind: z.enum(RouteKind),
-	/** A request is answered by then, whole or with a fault. */
+	/** Maximum time until a request is answered completely or with an error. */
 	timeoutMs: milliseconds,
-	/** The answer, or its first event, is meant to come within this time. */
+	/** Target time until the answer or its first event. */
 	firstByteAimMs: milliseconds,
-	/** The longest pause between two events of a stream that a caller does not mind. */
+	/** Acceptable time between two events of a stream. */
 	longestGapMs: milliseconds.optional(),
-	/** Targets that one request may be sent to. */
+	/** Maximum number of targets that a request is sent to. */
 	attempts: z.number().int().positive().max(maxAttempts).default(1),
 	/** 0 is the most urgent. */
 	priority: z.number().int().nonnegative().default(1),
-	/** Whether a stream that broke may go on at another target. */
+	/** Whether an interrupted stream may be resumed at another target. */
 	isResumable: z.boolean().default(false),
-	/** The only regions that may see and answer the requests; empty where any may. */
+	/** The regions that may receive and answer the requests; empty if all may. */
 	homes: z.array(createNameSchema<RegionName>()).default([]),
 	/** The services that share the route's requests. */
 	services: z.array(weightedServiceSchema).min(1),
@@ -53,11 +53,11 @@
 
 export type ManifestRoute = z.output<typeof routeSchema>;
 
-/** What a caller may send on one connection. */
+/** Limits of requests on a caller's connection. */
 export const callerLimitsSchema = z.strictObject({
 	headBytes: z.number().int().positive(),
 	bodyBytes: z.number().int().positive(),
-	/** The head of a request must be whole after this time. */
+	/** Maximum time until the head of a request is complete. */
 	headTimeoutMs: milliseconds,
 	/** A connection without a request is closed after this time. */
 	idleTimeoutMs: milliseconds,
@@ -65,7 +65,7 @@
 
 export type ManifestCallerLimits = z.output<typeof callerLimitsSchema>;
 
-/** Whether a second run of a request of the route does no harm. */
+/** Whether a request of the route may be run again. */
 export function isRepeatable(route: Pick<ManifestRoute, 'kind' | 'isResumable'>): boolean {
 	return route.kind === RouteKind.Idempotent || (route.kind === RouteKind.Stream && route.isResumable);
 }
--- a/src/core/manifest/common/schemas.ts
+++ b/src/core/manifest/common/schemas.ts
@@ -1,5 +1,5 @@
 /**
- * Kinds of values that stand in several parts of the manifest.
+ * Schemas of values that are used in several parts of the manifest.
  */
 
 import { z } from 'zod';
@@ -15,5 +15,5 @@
 
 const maxDurationMs = 86_400_000;
 
-/** A duration; a day at the most, since a longer one is a mistaken unit. */
+/** A duration of at most one day, since a longer one is probably in the wrong unit. */
 export const milliseconds = z.number().int().positive().max(maxDurationMs);
--- a/src/core/manifest/test/manifest.test.ts
+++ b/src/core/manifest/test/manifest.test.ts
@@ -18,33 +18,33 @@
 }
 
 describe('checkManifest', () => {
-	it('accepts a whole document and fills in what was left out', () => {
+	it('accepts a valid document and sets the defaults of omitted fields', () => {
 		const manifest = checkManifest(createDocument())._unsafeUnwrap();
 		expect(manifest.organisations[0]?.weight).toBe(1);
 		expect(manifest.services[0]?.classes.urgent.defaultDeadlineMs).toBe(10_000);
 	});
 
-	it('names every fault of the schema with its place', () => {
+	it('returns every schema error with its place', () => {
 		const document = { ...createDocument(), regions: [{ name: 'King ston', zones: [] }], surprise: 1 };
 		const places = checkManifest(document)
 			._unsafeUnwrapErr()
-			.map(fault => fault.place);
+			.map(issue => issue.place);
 		expect(places).toEqual(expect.arrayContaining(['regions[0].name', 'regions[0].zones', '']));
 	});
 
-	it('names every reference that leads nowhere and every name that stands twice', () => {
+	it('returns every undefined reference and every duplicate name', () => {
 		const document = createDocument();
 		document.organisations = [
 			{ name: 'harbour-hotel', home: 'montego' },
 			{ name: 'harbour-hotel', home: 'kingston' },
 		];
 		expect(checkManifest(document)._unsafeUnwrapErr()).toEqual([
-			{ place: 'organisations[1]', problem: 'harbour-hotel stands twice' },
+			{ place: 'organisations[1]', problem: 'harbour-hotel is defined more than once' },
 			{ place: 'organisations[0].home', problem: 'montego is not defined in this manifest' },
 		]);
 	});
 
-	it('says of a text that is not JSON that it is not', () => {
+	it('returns an error if the text is not JSON', () => {
 		expect(parseManifest('{')._unsafeUnwrapErr()[0]?.problem).toMatch(/^is not JSON/);
 	});
 });
--- a/src/core/manifest/test/manifestHolder.test.ts
+++ b/src/core/manifest/test/manifestHolder.test.ts
@@ -32,7 +32,7 @@
 
 const isValid = (offer: ManifestOffer): boolean => offer.version > 0 && /"name":"[ab]"/.test(offer.document);
 
-/** What the property finds wrong with a holder, or undefined where it holds. */
+/** Returns the violation of the property that fast-check finds, or undefined. */
 function findViolation(Holder: typeof ManifestHolder): string | undefined {
 	const property = fc.property(fc.array(anyOffer), offers => {
 		const { holder } = createHolder(Holder);
@@ -51,7 +51,7 @@
 	return failed ? String(errorInstance) : undefined;
 }
 
-/** Takes what came last, as a holder does that trusts the platform's present answer. */
+/** Faulty implementation that puts the latest valid offer in force. */
 class LastArrivalHolder extends ManifestHolder {
 	private last: ManifestOffer | undefined;
 
@@ -67,31 +67,31 @@
 }
 
 describe('ManifestHolder', () => {
-	// The platform is restored from a backup, a peer wakes with an old manifest, versions overtake each
-	// other. If the order of arrival counted, a withdrawn rule would be in force again.
-	it('holds the highest valid version that was ever offered, in any order', () => {
+	// Guards against an outdated manifest in force after the platform was restored from a backup, a frozen peer resumed,
+	// or versions arrived out of order.
+	it('holds the highest valid version that was offered, in any order', () => {
 		expect(findViolation(ManifestHolder)).toBeUndefined();
 	});
 
-	it('is found wrong if the last arrival wins', () => {
+	it('fails the property if the last arrival wins', () => {
 		expect(findViolation(LastArrivalHolder)).toContain('in force instead of');
 	});
 
-	it('tells each accepted manifest once and records where it came from', () => {
+	it('emits each accepted manifest once and records its source', () => {
 		const { holder, records } = createHolder();
-		const told: number[] = [];
-		subscribeTo(holder.onDidAccept, accepted => told.push(accepted.version));
+		const versions: number[] = [];
+		subscribeTo(holder.onDidAccept, accepted => versions.push(accepted.version));
 		[3, 3, 2, 5].forEach(version => holder.submit(createOffer(version)));
-		expect(told).toEqual([3, 5]);
+		expect(versions).toEqual([3, 5]);
 		expect(records).toMatchObject([
 			{ from: 'none', to: 'v3', sign: 'platform' },
 			{ from: 'v3', to: 'v5', manifestVersion: 5 },
 		]);
 	});
 
-	// Two pipelines publish at once and both documents get the same number. Some entries hold one, some the
-	// other; an operator learns it from the audit trail and the counter.
-	it('keeps its own of two documents with one version, counts every offer and reports once', () => {
+	// Guards against replacing a manifest by another document with the same version, which two pipelines that publish at
+	// the same time can create. Operators see the conflict in the audit trail and the metrics.
+	it('keeps the first of two documents with the same version, counts every offer and reports once', () => {
 		const { holder, records } = createHolder();
 		holder.submit(createOffer(3, 'a'));
 		expect(holder.submit(createOffer(3, 'b'))).toBe(ManifestState.Conflicting);
@@ -101,7 +101,7 @@
 		expect(records.filter(record => record.subject === 'manifest v3 refused')).toHaveLength(1);
 	});
 
-	it('checks a refused document once and names its faults once', () => {
+	it('checks a rejected document once and records its errors once', () => {
 		const { holder, records } = createHolder();
 		const parse = jest.spyOn(JSON, 'parse');
 		const states = [1, 2].map(() => holder.submit(createOffer(1, 'Bad')));
@@ -114,7 +114,7 @@
 		]);
 	});
 
-	it('remembers a bounded number of refused documents, the oldest out', () => {
+	it('keeps a bounded number of rejected documents and drops the oldest', () => {
 		const { holder, records } = createHolder();
 		const offers = Array.from({ length: 65 }, (_, index) => createOffer(index + 1, 'Bad'));
 		[...offers, offers[64]!, offers[0]!].forEach(offer => holder.submit(offer));
--- a/src/core/platformClient/common/instanceList.ts
+++ b/src/core/platformClient/common/instanceList.ts
@@ -1,6 +1,6 @@
 /**
- * The platform's list of live and leaving instances, entries and targets. It lags: an instance that is gone
- * may still stand in it as live, and a new one may be missing.
+ * The platform's list of live and leaving instances, that is entries and targets. The list lags: an instance that has
+ * stopped may still be listed as live, and a new one may be missing.
  */
 
 import type { Result } from 'neverthrow';
@@ -8,7 +8,7 @@
 import { z } from 'zod';
 import type { BootId, InstanceId, RegionName, TargetId, ZoneName } from '../../ids/common/ids';
 
-/** What the platform believes of an instance. */
+/** State of an instance in the list. */
 export enum ListedState {
 	Live = 'live',
 	Leaving = 'leaving',
@@ -25,10 +25,10 @@
 });
 
 const listedTargetSchema = z.object({
-	/** As the manifest names the target. */
+	/** The id of the target in the manifest. */
 	id: z.string().transform(value => value as TargetId),
 	kind: z.literal('target'),
-	/** Where the platform tells one start of a target from the next. */
+	/** Identifies the start of the target's process, if the platform provides it. */
 	boot: z
 		.string()
 		.transform(value => value as BootId)
@@ -43,15 +43,15 @@
 export type ListedInstance = z.output<typeof listedInstanceSchema>;
 export type ListedTargetRow = z.output<typeof listedTargetSchema>;
 
-/** The list, apart by kind. */
+/** The list, separated by the kind of instance. */
 export interface InstanceList {
 	/** Entries. */
 	readonly instances: readonly ListedInstance[];
-	/** Targets; those that the platform does not list are missing. */
+	/** Targets that the platform lists. */
 	readonly targets: readonly ListedTargetRow[];
 }
 
-/** Parses the list, or says in words what is wrong with it. */
+/** Parses the list, or returns an error message. */
 export function parseInstanceList(text: string): Result<InstanceList, string> {
 	try {
 		const parsed = instanceListSchema.safeParse(JSON.parse(text));
--- a/src/core/platformClient/common/platformHeaders.ts
+++ b/src/core/platformClient/common/platformHeaders.ts
@@ -1,8 +1,8 @@
 /**
- * The HTTP headers of the platform's interface.
+ * HTTP headers of the platform's API.
  */
 
 export const headers = {
-	/** Answer: the version of the document; the platform alone counts it up. */
+	/** Response header with the version of the document; only the platform increments it. */
 	version: 'platform-version',
 } as const;
--- a/src/core/platformClient/node/platformClient.ts
+++ b/src/core/platformClient/node/platformClient.ts
@@ -1,7 +1,7 @@
 /**
- * Reads the platform's configuration service and instance list over HTTP; docs/PLATFORM.md tells the
- * protocol. Every call counts against the rate that all readers share, a waiting watch as one, so followers
- * hang on a watch in place of polling.
+ * Reads the platform's configuration service and instance list over HTTP; docs/PLATFORM.md describes the protocol. Every
+ * call counts against a rate limit that all readers share, and a long-polling read counts once, so followers use long
+ * polling instead of polling at an interval.
  */
 
 import type { Stream } from 'most';
@@ -14,20 +14,20 @@
 import type { InstanceList } from '../common/instanceList';
 import { parseInstanceList } from '../common/instanceList';
 
-/** A versioned document as the platform gave it. */
+/** A versioned document as received from the platform. */
 export interface PlatformDocument {
 	readonly version: number;
 	readonly bytes: Uint8Array;
 }
 
-/** Why a read gave nothing. */
+/** Why a read failed. */
 export interface PlatformError {
 	readonly detail: string;
-	/** When the platform said to come back, in milliseconds from now. */
+	/** Delay before the next read that the platform requested with `retry-after`, in milliseconds. */
 	readonly retryAfterMs: number | undefined;
 }
 
-/** A read: a newer document, or undefined where none came in the time waited for. */
+/** Result of a read: a newer document, or undefined if there was none within the wait. */
 export type PlatformRead<TValue> = Promise<Result<TValue | undefined, PlatformError>>;
 
 /** A versioned instance list. */
@@ -35,7 +35,7 @@
 	readonly version: number;
 }
 
-/** The platform, read only. */
+/** Read access to the platform. */
 export interface IPlatformClient {
 	/** Waits up to `waitMs` for a manifest with a version above `after`. */
 	readManifest(after: number, waitMs: number, signal: AbortSignal): PlatformRead<PlatformDocument>;
@@ -43,7 +43,7 @@
 	readInstances(after: number, waitMs: number, signal: AbortSignal): PlatformRead<VersionedInstanceList>;
 }
 
-/** How one read ended, for those who count. */
+/** Outcome of one read, for metrics. */
 export interface PlatformReadEnd {
 	readonly kind: PlatformReadKind;
 	readonly result: ReadResult;
@@ -53,7 +53,8 @@
 const statusNotModified = 304;
 const statusNotFound = 404;
 const statusTooManyRequests = 429;
-/** Documents that are followed by their versions. */
+
+/** Versioned documents that can be read with long polling. */
 type DocumentKind = PlatformReadKind.Manifest | PlatformReadKind.Instances;
 
 const paths: Readonly<Record<DocumentKind, string>> = {
@@ -61,16 +62,16 @@
 	[PlatformReadKind.Instances]: '/v1/instances',
 };
 
-/** The platform over HTTP. */
+/** Reads from the platform over HTTP. */
 export class HttpPlatformClient implements IPlatformClient {
 	private readonly readEnds = new Channel<PlatformReadEnd>();
 
-	/** The end of each read; one that was given up by its caller is not told. */
+	/** Emits the outcome of each read, except reads that failed after their caller aborted them. */
 	readonly onDidEndRead: Stream<PlatformReadEnd> = this.readEnds.stream;
 
 	private readonly agent: Agent;
 
-	/** @param answerTimeoutMs How long an answer may take beyond the wait asked for; silence for longer is an outage. */
+	/** @param answerTimeoutMs How long an answer may take beyond the requested wait before the read fails. */
 	constructor(
 		private readonly origin: string,
 		private readonly answerTimeoutMs: number,
--- a/src/core/platformClient/test/platformClient.test.ts
+++ b/src/core/platformClient/test/platformClient.test.ts
@@ -16,7 +16,7 @@
 };
 
 describe('the instance list', () => {
-	it('names entries and targets', () => {
+	it('contains entries and targets', () => {
 		const target = { id: 'bookings-1', kind: 'target', boot: 'b1', state: 'leaving' };
 		const silent = { id: 'bookings-2', kind: 'target', state: 'live' };
 		const text = JSON.stringify({ instances: [target, entry, silent] });
@@ -26,16 +26,16 @@
 		});
 	});
 
-	it('is refused with a row that is no whole target', () => {
+	it('is rejected if a row is not a valid target', () => {
 		const text = JSON.stringify({ instances: [{ id: 'bookings-1', kind: 'target', state: 'gone' }] });
 		expect(parseInstanceList(text)._unsafeUnwrapErr()).toContain('state');
 	});
 });
 
 describe('HttpPlatformClient', () => {
-	// The fleet reads more than the platform allows, or a part of the platform is away. Without the ends of
-	// the reads, operators would see that changes no longer arrive, and not why.
-	it('tells how each read ended', async () => {
+	// Guards against missing metrics of failed reads: if the fleet exceeds the platform's rate limit or a part of the
+	// platform is down, operators would see that changes no longer arrive, but not the reason.
+	it('emits the outcome of each read', async () => {
 		const answers = [200, 304, 429, 500];
 		const server = createServer((_, response) => {
 			response.writeHead(answers.shift() ?? 500, { 'platform-version': '1' }).end('{}');
--- a/src/core/store/common/storeClient.ts
+++ b/src/core/store/common/storeClient.ts
@@ -1,17 +1,17 @@
 /**
- * A key-value store that can be read and watched, whatever protocol it speaks. Items carry the revision of
- * their last change; one counter orders the changes of all keys.
+ * Interface of a key-value store that can be listed and watched, independent of the store's protocol. Each item
+ * includes the revision of its last change; revisions come from one counter for all keys of the store.
  */
 
 import type { Result } from 'neverthrow';
 
 /**
  * Incremented each time the store is restored from an older copy. Revisions are assigned again after a restore, so
- * they are comparable only within one era. Undefined for an answer that does not include it.
+ * they are comparable only within one era. Undefined if an answer does not include it.
  */
 export type StoreEra = number;
 
-/** One key with its value. */
+/** A key with its value and the revision of its last change. */
 export interface StoreItem {
 	readonly key: string;
 	readonly value: Uint8Array;
@@ -23,12 +23,12 @@
 	Removed = 'removed',
 }
 
-/** A key that was written, or removed. */
+/** One write or removal of a key. */
 export type StoreChange =
 	| { readonly kind: StoreChangeKind.Written; readonly item: StoreItem }
 	| { readonly kind: StoreChangeKind.Removed; readonly key: string; readonly revision: number };
 
-/** Some of the items below a prefix, in the order of their keys. */
+/** A page of the items whose keys begin with a prefix, sorted by key. */
 export interface StorePage {
 	readonly items: readonly StoreItem[];
 	readonly hasMore: boolean;
@@ -37,44 +37,44 @@
 	readonly era?: StoreEra | undefined;
 }
 
-/** What changed below a prefix, in the order of the changes. */
+/** Changes of the keys that begin with a prefix, in the order in which they were made. */
 export interface StoreWatchResult {
 	readonly changes: readonly StoreChange[];
-	/** Where the next watch goes on. */
+	/** The revision after which the next watch continues. */
 	readonly revision: number;
 	readonly era?: StoreEra | undefined;
 }
 
 export enum StoreErrorKind {
-	/** No answer, or none that can be read. */
+	/** There was no answer, or it could not be parsed. */
 	Unreachable = 'unreachable',
-	/** The store answered that it does not serve the call now. */
+	/** The store answered that it cannot serve the call at present. */
 	Refused = 'refused',
-	/** The changes after the revision asked for are no longer kept. */
+	/** The store no longer keeps the changes after the requested revision. */
 	HistoryGone = 'history-gone',
 	/** The store was restored from an older copy since the previous answer. */
 	Restored = 'restored',
-	/** The answer is of a lower era than an earlier answer. */
+	/** The answer has a lower era than an earlier answer. */
 	Outdated = 'outdated',
 }
 
-/** Why a call gave nothing. */
+/** Why a call failed. */
 export interface StoreError {
 	readonly kind: StoreErrorKind;
-	/** For people. */
+	/** Explanation for logs. */
 	readonly detail: string;
 	readonly era?: StoreEra | undefined;
 }
 
-/** Reads a store; no call is repeated here. */
+/** Reads a store. Calls are not retried by the client. */
 export interface IStoreClient {
-	/** A page of the items below a prefix whose keys come after `afterKey`. */
+	/** Returns a page of the items whose keys begin with `prefix` and sort after `afterKey`. */
 	list(
 		prefix: string,
 		afterKey: string | undefined,
 		signal: AbortSignal,
 	): Promise<Result<StorePage, StoreError>>;
-	/** Waits up to `waitMs` for a change below a prefix after a revision. */
+	/** Waits up to `waitMs` for a change after `afterRevision` to a key that begins with `prefix`. */
 	watch(
 		prefix: string,
 		afterRevision: number,
--- a/src/core/store/common/storeFollower.ts
+++ b/src/core/store/common/storeFollower.ts
@@ -1,16 +1,16 @@
 /**
- * Follows the items below one prefix of the store: lists them once, then hangs on a watch again and again.
+ * Tracks the items below one prefix of the store: lists them once, then repeats watch calls (long polling).
  *
- * What goes wrong and how it is met:
+ * Failures and how they are handled:
  *
- * - The store is away, turns this process away, or its answers are lost. Calls are made again after a pause,
- *   and none hangs before one was answered, or the store's return would be noticed a whole wait late.
- * - The history that a watch would go on from is gone. Everything is listed anew.
+ * - The store is down, rejects calls, or its answers are lost. Calls are repeated after a pause, and calls do not wait
+ *   at the store until one has been answered; otherwise the end of an outage could be detected too late by a whole wait.
+ * - The store no longer keeps the changes from which a watch would continue. All items are listed again.
  * - The store is restored from an older copy. Its revisions go back and are assigned again, so a watch that
  *   continues from the last known revision could miss changes. Each answer includes the store's era; when it
  *   increases, everything is listed again.
- * - A connection falls silent for good. A watch is asked to end after a wait, and one that has not ended
- *   a margin later is given up; news are then late by that much and no more.
+ * - A connection stops delivering data without being closed. The store is asked to end a watch after a maximum wait,
+ *   and a call that takes longer than that wait and a margin is aborted. This bounds the delay of changes.
  */
 
 import type { Stream } from 'most';
@@ -28,22 +28,22 @@
 import type { MirrorChange } from './storeMirror';
 import { StoreMirror } from './storeMirror';
 
-/** A change of the items followed. */
+/** A change of the items below the prefix. */
 export interface FollowedChange extends MirrorChange {
 	readonly revision: number;
 	/**
-	 * The store has just come back from an outage or was restored from an older copy: healthy targets may write
-	 * missing entries again shortly.
+	 * Whether the store has just recovered from an outage or was restored from an older copy. Healthy targets may
+	 * write missing entries again shortly.
 	 */
 	readonly isAfterOutage: boolean;
 }
 
-/** The store was lost or is back. */
+/** The store became unreachable or reachable. */
 export interface StoreReachability {
 	readonly isReached: boolean;
-	/** Why it was lost. */
+	/** Why the store is unreachable; empty when it is reachable again. */
 	readonly detail: string;
-	/** How long it was away, in milliseconds; 0 for a loss. */
+	/** Duration of the outage in milliseconds; 0 when it begins. */
 	readonly awayMs: number;
 }
 
@@ -51,40 +51,40 @@
 export interface StoreRestore {
 	readonly fromEra: StoreEra;
 	readonly toEra: StoreEra;
-	/** The revision up to which all changes were held. */
+	/** The revision up to which all changes had been applied. */
 	readonly heldRevision: number;
-	/** The store's revision in the answer that showed the restore, if it included one. */
+	/** The store's revision in the answer that revealed the restore, if it included one. */
 	readonly foundRevision: number | undefined;
 }
 
-/** What a call to the store asks. */
+/** Kind of a call to the store. */
 export enum StoreCallKind {
 	List = 'list',
 	Watch = 'watch',
 }
 
-/** How a call to the store ended; told of each call, so that an outage can be followed call by call. */
+/** Result of a call to the store; emitted for every call, so that an outage can be analysed call by call. */
 export interface StoreCallEnd {
 	readonly call: StoreCallKind;
-	/** The revision up to which all changes were held when the call was made. */
+	/** The revision up to which all changes had been applied when the call was made. */
 	readonly heldRevision: number;
-	/** How long the store was asked to hold the call, in milliseconds. */
+	/** How long the store was asked to wait for a change, in milliseconds. */
 	readonly waitMs: number;
 	readonly tookMs: number;
-	/** It was answered with items or changes. */
+	/** Whether the answer contained items or changes. */
 	readonly hasData: boolean;
-	/** Why it gave nothing, or undefined for an answer. */
+	/** Why the call failed, or undefined if it was answered. */
 	readonly fault: StoreError | undefined;
 	readonly era: StoreEra | undefined;
 }
 
-/** Calls that fail for less than this are no outage: entries do not lapse in it. */
+/** Shorter periods of failed calls are not an outage, since entries do not expire within them. */
 const minOutageMs = 1_000;
 
-/** How long after an outage its traces may last. */
+/** How long after an outage a change may still be an effect of it. */
 const recoveryGraceMs = 2_500;
 
-/** Emits the changes of one prefix until disposed of. */
+/** Emits the changes of one prefix until it is disposed. */
 export class StoreFollower extends Disposable {
 	private readonly abort = new AbortController();
 	private readonly mirror = new StoreMirror();
@@ -95,10 +95,10 @@
 	private readonly timings: WatchTimings;
 	private readonly backoff: WatchBackoff;
 	private currentCall: AbortController | undefined;
-	/** Those who wait for the next read to end. */
+	/** Resolves the pending `refresh` calls when the next read ends. */
 	private readonly pendingRefreshes: (() => void)[] = [];
 	private era: StoreEra | undefined;
-	/** Number of restores detected; a listing during which it changes is restarted, a failed read repeated at once. */
+	/** Number of restores detected; if it changes, a listing is restarted and a failed read is repeated without a pause. */
 	private restoreCount = 0;
 	private lastAnswerMs: number | undefined;
 	private unreachableSinceMs: number | undefined;
@@ -109,7 +109,7 @@
 	readonly onDidEndCall: Stream<StoreCallEnd> = this.callEnds.stream;
 	readonly onDidRestore: Stream<StoreRestore> = this.restores.stream;
 
-	/** @param maxDelayMs By how many milliseconds a change may be late once the store answers. */
+	/** @param maxDelayMs Maximum delay in milliseconds with which a change is received while the store answers. */
 	constructor(
 		private readonly prefix: string,
 		private readonly client: IStoreClient,
@@ -127,7 +127,7 @@
 		);
 	}
 
-	/** Follows until disposed of. */
+	/** Reads changes until disposed. */
 	async follow(): Promise<void> {
 		while (!this.abort.signal.aborted) {
 			await this.readOnce();
@@ -140,8 +140,8 @@
 	}
 
 	/**
-	 * Asks the store for what there is now in place of hanging on; ends when it has answered or failed to. After
-	 * a sleep the call that hangs may be on a connection that is long gone.
+	 * Aborts the current call and asks the store for the present state without waiting. Resolves when that read has
+	 * succeeded or failed. Used after the process was suspended, when the connection of the current call may be dead.
 	 */
 	async refresh(): Promise<void> {
 		this.backoff.markStale();
@@ -156,7 +156,7 @@
 		return this.era;
 	}
 
-	/** Takes the era seen by another follower of the same store; if it is higher than the known one, lists again. */
+	/** Applies the era seen by another follower of the same store; if it is higher than the known one, lists again. */
 	updateEra(era: StoreEra): void {
 		if (this.era !== undefined && era > this.era) {
 			this.handleRestore(era, undefined);
@@ -210,7 +210,7 @@
 		}
 		const isEmpty = result.isOk() && result.value.changes.length === 0;
 		if (isEmpty && waitMs > 0 && this.timers.getNow() - startedMs < minPauseMs) {
-			// A store that ends a waiting watch at once must not be asked again in a tight loop.
+			// Prevents a tight loop if the store ends watches without waiting.
 			await waitFor(this.timers, minPauseMs, this.abort.signal);
 		}
 		return result.map(value => this.mirror.apply(value));
@@ -245,7 +245,7 @@
 		}
 	}
 
-	/** A call that is given up when it takes longer than its wait and the margin. */
+	/** Makes a call and aborts it if it takes longer than its wait and the answer timeout. */
 	private async fetchWithTimeout<TValue extends Partial<Pick<StorePage, 'revision' | 'era'>>>(
 		call: StoreCallKind,
 		waitMs: number,
@@ -277,7 +277,7 @@
 		}
 	}
 
-	/** Returns a fault for the first answer of a higher era and for every answer of a lower era. */
+	/** Returns an error for the first answer of a higher era and for every answer of a lower era. */
 	private checkEra<TValue extends Partial<Pick<StorePage, 'revision' | 'era'>>>(
 		answer: Result<TValue, StoreError>,
 	): Result<TValue, StoreError> {
--- a/src/core/store/common/storeMirror.ts
+++ b/src/core/store/common/storeMirror.ts
@@ -1,9 +1,9 @@
 /**
- * The items below one prefix of the store as this process last saw them.
+ * Local copy of the items below one prefix of the store.
  *
- * Pages of a listing are read one after the other while the store changes, and a watch goes on from the
- * revision of the first page; so a change can arrive that a later page showed already. Each key's revision
- * decides: what is not newer than what is held changes nothing.
+ * The pages of a listing are read one after the other while the store changes, and the following watch continues from
+ * the revision of the first page. A watch can therefore report a change that a later page already included. Changes
+ * whose revision is not higher than that of the local item are ignored.
  *
  * After a restore of the store, the same revision of a key may have another value. All items of the next listing are
  * therefore reported as written.
@@ -12,7 +12,7 @@
 import type { StoreChange, StoreItem, StoreWatchResult } from './storeClient';
 import { StoreChangeKind } from './storeClient';
 
-/** What changed, each key once. */
+/** Changes of the local copy; each key occurs once. */
 export interface MirrorChange {
 	readonly written: readonly StoreItem[];
 	readonly removed: readonly string[];
@@ -20,13 +20,13 @@
 	readonly isRestored: boolean;
 }
 
-/** Holds the items of one prefix. */
+/** Keeps the items of one prefix and computes what each listing or watch changed. */
 export class StoreMirror {
 	private items = new Map<string, StoreItem>();
 	private heldRevision = 0;
 	private isRestored = false;
 
-	/** The revision up to which all changes are held; 0 before the first listing. */
+	/** The revision up to which all changes are applied; 0 before the first listing. */
 	get revision(): number {
 		return this.heldRevision;
 	}
@@ -37,7 +37,7 @@
 		this.isRestored = true;
 	}
 
-	/** A whole listing takes the place of what was held. */
+	/** Replaces all items by those of a complete listing. */
 	putAll(items: readonly StoreItem[], revision: number): MirrorChange {
 		const before = this.items;
 		const { isRestored } = this;
@@ -51,7 +51,7 @@
 		};
 	}
 
-	/** Changes that a watch brought. */
+	/** Applies the changes that a watch returned. */
 	apply(result: StoreWatchResult): MirrorChange {
 		const touched = new Set<string>();
 		for (const change of result.changes) {
@@ -69,7 +69,7 @@
 		};
 	}
 
-	/** Gives the key where the change is news. */
+	/** Returns the key if the change is newer than the local item, otherwise undefined. */
 	private applyOne(change: StoreChange): string | undefined {
 		if (change.kind === StoreChangeKind.Removed) {
 			const isNewer = change.revision > this.getRevision(change.key) && this.items.delete(change.key);
--- a/src/core/store/test/storeFollower.test.ts
+++ b/src/core/store/test/storeFollower.test.ts
@@ -32,7 +32,7 @@
 
 type Answer<TValue> = Result<TValue, StoreError>;
 
-/** A store that answers each call when the test says so. */
+/** A store whose calls are answered by the test. */
 class ScriptedStore implements IStoreClient {
 	readonly calls: string[] = [];
 	private readonly answers: ((answer: Answer<never>) => void)[] = [];
@@ -60,7 +60,7 @@
 	}
 
 	async fail(kind: StoreErrorKind): Promise<void> {
-		this.answers.shift()?.(err({ kind, detail: 'as the test says' }));
+		this.answers.shift()?.(err({ kind, detail: 'scripted error' }));
 		await waitForPromises();
 	}
 
@@ -71,7 +71,7 @@
 			this.answers.push(answer);
 			signal.addEventListener('abort', () => {
 				this.answers.splice(this.answers.indexOf(answer), 1);
-				resolve(err({ kind: StoreErrorKind.Unreachable, detail: 'given up' }));
+				resolve(err({ kind: StoreErrorKind.Unreachable, detail: 'call aborted' }));
 			});
 		});
 	}
@@ -124,7 +124,7 @@
 }
 
 describe('StoreMirror', () => {
-	it('takes nothing twice that a page showed already', () => {
+	it('ignores a change that a page already included', () => {
 		const mirror = new StoreMirror();
 		mirror.putAll([createItem('a', 5), createItem('b', 9)], 7);
 		const change = mirror.apply({ changes: [createWrite('b', 9), createWrite('c', 10)], revision: 10 });
@@ -132,7 +132,7 @@
 		expect(mirror.revision).toBe(10);
 	});
 
-	it('tells a key that was removed and written again as written alone', () => {
+	it('reports a key that was removed and written again only as written', () => {
 		const mirror = new StoreMirror();
 		mirror.putAll([createItem('a', 1)], 1);
 		const change = mirror.apply({ changes: [createRemoval('a', 2), createWrite('a', 3)], revision: 3 });
@@ -142,7 +142,7 @@
 });
 
 describe('StoreFollower', () => {
-	it('lists all pages, and goes on from the revision of the first', async () => {
+	it('lists all pages and continues from the revision of the first', async () => {
 		const { store, changes, stop } = await startFollowing();
 		await store.answer({ items: [createItem('servers/a', 3)], hasMore: true, revision: 4 });
 		await store.answer({ items: [createItem('servers/b', 5)], hasMore: false, revision: 6 });
@@ -155,9 +155,9 @@
 		stop();
 	});
 
-	// The store drops its history sooner than usual, and the watch has nothing to go on from. A follower that
-	// asked for the same revision again and again would never hear of a target again.
-	it('lists anew when the history is gone', async () => {
+	// Guards against a follower that repeats a watch from a revision that the store no longer keeps, and so never
+	// receives a change again.
+	it('lists again when the store no longer keeps the history', async () => {
 		const { store, changes, stop } = await startFollowing();
 		await store.answer({ items: [createItem('servers/a', 3)], hasMore: false, revision: 4 });
 		await store.fail(StoreErrorKind.HistoryGone);
@@ -167,9 +167,9 @@
 		stop();
 	});
 
-	// A connection falls silent for good: the watch neither ends nor fails. Waited for without an end, a target
-	// that leaves would go on getting requests.
-	it('gives up a watch that outlives its wait, and asks again', async () => {
+	// Guards against an unbounded wait when a connection stops delivering data and the watch neither ends nor fails: a
+	// target that leaves would continue to receive requests.
+	it('aborts a watch that exceeds its wait and calls again', async () => {
 		const { store, advance, reachabilityChanges, stop } = await startFollowing();
 		await store.answer({ items: [createItem('servers/a', 3)], hasMore: false, revision: 4 });
 		await advance(7_000);
@@ -179,9 +179,9 @@
 		stop();
 	});
 
-	// The store is away for seconds, and registrations lapse meanwhile. What is read first on its return must be
-	// told as such, or each return empties a region.
-	it('marks what it reads just after an outage', async () => {
+	// Guards against removing all targets of a region after each outage of the store: registrations expire during the
+	// outage, so the first changes read after it must be marked.
+	it('marks changes read just after an outage', async () => {
 		const { store, advance, changes, reachabilityChanges, stop } = await startFollowing();
 		await store.answer({ items: [createItem('servers/a', 3)], hasMore: false, revision: 4 });
 		await store.fail(StoreErrorKind.Refused);
@@ -194,9 +194,9 @@
 		stop();
 	});
 
-	// The store is lost and an entry goes on with what it holds. Whoever looks into it afterwards must see which
-	// calls were made, what they asked and how long they hung; that the store was lost and is back says neither.
-	it('tells of each call what it asked, how long it took and why it failed', async () => {
+	// Guards against outages that cannot be analysed: the log must show which calls were made during an outage, with
+	// their parameters and durations, and not only that the store was unreachable.
+	it('emits the parameters, duration and error of each call', async () => {
 		const { store, advance, callEnds, stop } = await startFollowing();
 		await store.answer({ items: [createItem('servers/a', 3)], hasMore: false, revision: 4 });
 		await advance(300);
@@ -213,9 +213,9 @@
 		stop();
 	});
 
-	// A process is frozen for some seconds, and the connection on which its watch hangs is gone when it wakes. Left
-	// hanging, it holds the first requests for state that never comes, and serves on by what was true before.
-	it('asks anew in place of hanging on, and tells when it knows', async () => {
+	// Guards against waiting on a dead connection after the process was frozen for some seconds: the first requests
+	// would be held for state that never arrives, or served by outdated state.
+	it('aborts the waiting watch on refresh and resolves after the next answer', async () => {
 		const { store, follower, changes, reachabilityChanges, stop } = await startFollowing();
 		await store.answer({ items: [createItem('servers/a', 3)], hasMore: false, revision: 4 });
 		let isRefreshed = false;
@@ -232,7 +232,7 @@
 		stop();
 	});
 
-	it('pauses between calls that fail', async () => {
+	it('pauses between failed calls', async () => {
 		const { store, advance, stop } = await startFollowing();
 		await store.fail(StoreErrorKind.Unreachable);
 		expect(store.calls).toHaveLength(1);
--- a/src/core/store/test/storeOutage.test.ts
+++ b/src/core/store/test/storeOutage.test.ts
@@ -9,11 +9,11 @@
 import { StoreChangeKind, StoreErrorKind } from '../common/storeClient';
 import { StoreFollower } from '../common/storeFollower';
 
-/** An entry is held to what was confirmed once the store has been well for this long. */
+/** Maximum delay with which an entry receives a change after the store has recovered. */
 const defaultMaxDelayMs = 5_000;
 const stepsInBound = 100;
 
-/** A store with one item, written anew when its silence ends. */
+/** A store with one item that is written again when the store becomes responsive. */
 class SilentStore implements IStoreClient {
 	constructor(private readonly publisher: SilentPublisher) {}
 
@@ -62,7 +62,7 @@
 ): Promise<Result<TValue, StoreError>> {
 	const aborted = new Promise<Result<TValue, StoreError>>(resolve => {
 		signal.addEventListener('abort', () => {
-			resolve(err({ kind: StoreErrorKind.Unreachable, detail: 'given up' }));
+			resolve(err({ kind: StoreErrorKind.Unreachable, detail: 'call aborted' }));
 		});
 	});
 	return Promise.race([answer, aborted]);
@@ -74,7 +74,7 @@
 	}
 }
 
-/** Milliseconds from the end of a silence, when an item is written anew, until a follower has it. */
+/** Returns the milliseconds from the end of a silence, when the item is written, until a follower receives it. */
 async function measureDelay(silence: Silence, maxDelayMs: number, seed: number): Promise<number> {
 	const timers = new ManualTimerService();
 	const store = new SilentStore(new SilentPublisher(timers, silence));
@@ -92,36 +92,31 @@
 	return timers.getNow() - silence.toMs;
 }
 
-describe('StoreFollower after an outage in which the store is silent', () => {
-	// The store falls silent for some seconds: it refuses nothing, calls just hang. Once it is back operators
-	// change the configuration, and five seconds later requests are still handled by the one before, so a caller
-	// gets the old service and the old timeout. All entries are late together, since none has news for the others.
-	// The watch that followed the first failure was begun in the silence and hung for its whole wait, past the
-	// store's return: `"call":"watch","heldRevision":11,"waitMs":5000,"tookMs":6501,"fault":"unreachable"`, begun
-	// 3.9 s before the return and given up 2.6 s after it. A store that counts its calls saw none from any entry
-	// for 3.5 s after its return, and the configuration was in force 5.8 to 6.2 s after it.
-	it.each([1, 2, 3])(
-		'has what was written when the store came back five seconds later, seed %i',
-		async seed => {
-			const delays: number[] = [];
-			for (let lengthMs = 100; lengthMs <= 14_000; lengthMs += 100) {
-				delays.push(await measureDelay({ fromMs: 5_000, toMs: 5_000 + lengthMs }, defaultMaxDelayMs, seed));
-			}
-			expect(Math.max(...delays)).toBeLessThanOrEqual(defaultMaxDelayMs);
-		},
-	);
+describe('StoreFollower after an outage in which the store does not respond', () => {
+	// Guards against a watch that begins during an outage and hangs for its whole wait after the store has recovered, so
+	// that requests are handled by an outdated configuration for more than five seconds. A log showed such a call,
+	// `"call":"watch","heldRevision":11,"waitMs":5000,"tookMs":6501,"fault":"unreachable"`: it began 3.9 s before the
+	// recovery and was aborted 2.6 s after it. The store received no call from any entry for 3.5 s after its recovery,
+	// and the new configuration was in force 5.8 to 6.2 s after it.
+	it.each([1, 2, 3])('receives a change made at the recovery within five seconds, seed %i', async seed => {
+		const delays: number[] = [];
+		for (let lengthMs = 100; lengthMs <= 14_000; lengthMs += 100) {
+			delays.push(await measureDelay({ fromMs: 5_000, toMs: 5_000 + lengthMs }, defaultMaxDelayMs, seed));
+		}
+		expect(Math.max(...delays)).toBeLessThanOrEqual(defaultMaxDelayMs);
+	});
 
-	// Connections to the store fall silent for good in the middle of a watch, while new ones work, and a target
-	// leaves just then. A deployment that allows less time than another must hear of it sooner.
+	// Guards against a watch that outlasts the configured maximum delay when its connection stops delivering data while
+	// new connections work, for example just before a target leaves.
 	it.each([1_000, 3_000, 6_000, 9_000])(
-		'hears of a change within %i ms where a watch fell silent',
-		async newsWithinMs => {
+		'receives a change within %i ms when the connection of a watch stops responding',
+		async maxDelayMs => {
 			const delays: number[] = [];
 			for (let share = 0; share < 1; share += 0.01) {
-				const fromMs = Math.floor((1 + share) * newsWithinMs);
-				delays.push(await measureDelay({ fromMs, toMs: fromMs + 1 }, newsWithinMs, 1));
+				const fromMs = Math.floor((1 + share) * maxDelayMs);
+				delays.push(await measureDelay({ fromMs, toMs: fromMs + 1 }, maxDelayMs, 1));
 			}
-			expect(Math.max(...delays)).toBeLessThanOrEqual(newsWithinMs);
+			expect(Math.max(...delays)).toBeLessThanOrEqual(maxDelayMs);
 		},
 	);
 });
--- a/src/core/targets/common/leavingReasons.ts
+++ b/src/core/targets/common/leavingReasons.ts
@@ -1,26 +1,27 @@
 /**
- * The signs that a target is leaving, as they stand. Some stand until the thing that they spoke of has
- * changed; words fall by themselves after a quiet time, so that the target is asked again. The quiet time
- * doubles whenever the target leaves soon after it came back: one that accepts probes and refuses requests
- * costs a refused request each time.
+ * The reasons for which a target counts as leaving at present. Some apply until the manifest or the instance list
+ * changes; reports of the target or a peer and closed connections expire after a time without a repetition, so that the
+ * target is probed again. This time doubles each time the target leaves soon after it returned: a target that accepts
+ * probes but refuses requests costs a refused request each time.
  */
 
 /** Why a target is leaving. */
 export enum LeavingReason {
 	InstanceList = 'instance list',
 	Manifest = 'manifest',
-	/** The leaving header, on an answer or a refusal. */
+	/** The target sent the leaving header with an answer or a refusal. */
 	SelfReport = 'own word',
 	/** `Connection: close` from a target that has kept connections open before. */
 	ConnectionClose = 'connection close',
+	/** A peer reported that it received the leaving header from the target. */
 	PeerReport = 'peer word',
 }
 
 /**
- * How long a sign stands before the target is asked again, at first, in milliseconds; the others stand. In
- * a rolling restart in place the targets leave one after the other, and words that outlived the restart by
- * much would have all of them out together. Servers also close a connection after many requests; such a
- * target is asked again soon.
+ * Initial time after which a reason expires if it is not repeated, in milliseconds; other reasons do not expire. In a
+ * rolling restart in place, the targets leave one after the other. If their reports applied for much longer than a
+ * restart takes, all targets would be unavailable at the same time. Servers also close a connection after a number of
+ * requests, so that reason expires sooner.
  */
 const reasonLifetimes: ReadonlyMap<LeavingReason, number> = new Map([
 	[LeavingReason.SelfReport, 5_000],
@@ -30,12 +31,12 @@
 
 const maxLifetimeMs = 30_000;
 
-/** A target that leaves again within this time after it came back waits twice as long. */
+/** The expiry time doubles if a target leaves again within this time after its return. */
 const stableAfterMs = 60_000;
 
-/** The standing signs of one target. */
+/** The reasons that apply to one target. */
 export class LeavingReasons {
-	/** Each with the time when it falls by itself, if it does. */
+	/** Each reason with the time when it expires, or undefined if it does not expire. */
 	private readonly active = new Map<LeavingReason, number | undefined>();
 	private quickReturns = 0;
 	private returnedMs = Number.NEGATIVE_INFINITY;
@@ -48,18 +49,18 @@
 		return this.active.size === 0;
 	}
 
-	/** The first sign since the target was in use. */
+	/** Records that the target starts leaving. */
 	noteLeaving(nowMs: number): void {
 		this.quickReturns = nowMs - this.returnedMs < stableAfterMs ? this.quickReturns + 1 : 0;
 		this.returnedMs = Number.POSITIVE_INFINITY;
 	}
 
-	/** The target is in use again. */
+	/** Records that the target is in use again. */
 	noteReturned(nowMs: number): void {
 		this.returnedMs = nowMs;
 	}
 
-	/** A sign came, or came again. */
+	/** Adds a reason, or renews its expiry time. */
 	add(reason: LeavingReason, nowMs: number): void {
 		const lifetimeMs = reasonLifetimes.get(reason);
 		const expiryMs =
@@ -75,12 +76,12 @@
 		}
 	}
 
-	/** Drops the words whose quiet time is over. */
+	/** Removes the reasons that have expired. */
 	expire(nowMs: number): void {
 		this.clear(reason => (this.active.get(reason) ?? Number.POSITIVE_INFINITY) <= nowMs);
 	}
 
-	/** When the last sign falls by itself, or undefined where one stands until something changes. */
+	/** Returns when the last reason expires, or undefined if a reason does not expire. */
 	findExpiryMs(): number | undefined {
 		const expiries = [...this.active.values()];
 		const timed = expiries.filter(expiry => expiry !== undefined);
--- a/src/core/targets/common/targetLifecycle.ts
+++ b/src/core/targets/common/targetLifecycle.ts
@@ -1,19 +1,19 @@
 /**
- * The life of one target as one entry sees it. Four signs say that a target is leaving, and the earliest
- * wins: the instance list, the manifest, the target's own word and a peer's word. The list lags: it says
- * `live` for seconds after a target said that it is leaving, so `live` on the list never undoes a sign. If
- * it did, a target that shuts down would be taken out and put back at every reading of the list, seen as
- * requests that end with a connection reset during each planned stop.
+ * Lifecycle of one target as one entry sees it. A target counts as leaving as soon as one of these reports it: the
+ * instance list, the manifest, the target itself, a peer, or a closed connection. The list lags: it contains `live` for
+ * seconds after a target announced that it is leaving, so `live` in the list never removes a reason. Otherwise a target
+ * that shuts down would be removed and used again with every read of the list, and requests would end with a connection
+ * reset during each planned stop.
  *
- * Each sign stands until the thing that it spoke of has changed, and then the target itself must accept: it
- * is first asked by a probe, on a new connection and without a caller's request.
+ * A reason applies until its source has changed. The target must then accept a probe, which is sent on a new connection
+ * and without a caller's request, before it is used again. Reasons are removed as follows:
  *
- * - any sign: a manifest newer than the one in force when the sign came says `live`, and the list does not
- *   say `leaving` at that time;
- * - the list's, the target's and a peer's: the list shows another boot, or the target again after a gap;
- * - the target's and a peer's: a time without the sign, see `LeavingSigns`. Without this way back, a target
- *   restarted in place under a manifest that does not change would stay out for good, and a rolling restart
- *   would end the service.
+ * - any reason: a manifest newer than the one in force when the reason was added contains `live`; the reason of the
+ *   instance list remains while the list contains `leaving`;
+ * - all reasons except the manifest: the list contains another boot, or the target again after it was missing;
+ * - reports of the target or a peer and closed connections: expiry after a time without a repetition, see
+ *   `LeavingReasons`. Without this expiry, a target restarted in place while the manifest does not change would stay
+ *   unavailable, and a rolling restart would make the whole service unavailable.
  */
 
 import chartFile from '../../../../charts/target.json';
@@ -24,56 +24,60 @@
 
 export enum TargetState {
 	Live = 'live',
-	/** No connection could be opened lately, or it has not yet accepted after leaving. */
+	/** Recent connections failed, or the target has not accepted a probe since it was leaving. */
 	Suspect = 'suspect',
-	/** A probe is under way. */
+	/** A probe is in progress. */
 	Trial = 'trial',
 	Leaving = 'leaving',
-	/** The manifest no longer names it. */
+	/** The manifest no longer contains the target. */
 	Gone = 'gone',
 }
 
 export enum TargetEvent {
 	Suspect = 'Suspect',
+	/** A probe was started. */
 	Try = 'Try',
+	/** The probe succeeded. */
 	Accept = 'Accept',
+	/** The probe failed. */
 	Fail = 'Fail',
 	Leave = 'Leave',
-	/** No sign of leaving stands any more. */
+	/** No reason for leaving applies any more. */
 	Clear = 'Clear',
 	Remove = 'Remove',
 }
 
 export const targetChart = new TypedChart(chartFile, TargetState, TargetEvent);
 
-/** What the instance list says of a target; undefined in its place means that the list does not name it. */
+/** A target's entry in the instance list; undefined is used for a target that is not in the list. */
 export interface ListedTarget {
 	readonly isLeaving: boolean;
 	readonly boot: BootId | undefined;
 }
 
-/** A change of state with what led to it. */
+/** A change of state with its cause. */
 export interface TargetChange {
 	readonly from: TargetState;
 	readonly to: TargetState;
+	/** What caused the change, for the audit trail. */
 	readonly sign: string;
 }
 
-/** Connections that fail in a row before a target is suspected; one may be a lost packet. */
+/** Number of consecutive failed connections after which a target is suspect; a single one may be a lost packet. */
 const suspectAfterFailures = 3;
 
 const initialProbeDelayMs = 500;
 const maxProbeDelayMs = 5_000;
 
 /**
- * A server that answers probes for so long and closes every connection does so by habit: a stop does not
- * take longer, and without this end a server whose settings changed would stay out for good.
+ * A server that answers probes and closes every connection for this long is configured to do so: no stop takes this
+ * long. Without this limit, a server whose configuration changed would stay unavailable.
  */
 const maxConnectionCloseMs = 600_000;
 
 /**
- * One target's life. Every method takes the present time in monotonic milliseconds; those that note
- * something give the state that it led to.
+ * State machine of one target. Times are monotonic milliseconds; methods that record an event return the resulting
+ * state.
  */
 export class TargetLifecycle {
 	private readonly stateMachine = new TypedStateMachine(targetChart);
@@ -94,20 +98,20 @@
 		return this.stateMachine.getState();
 	}
 
-	/** Whether it may be given requests. */
+	/** Whether the target may receive requests. */
 	isUsable(): boolean {
 		return this.stateMachine.getState() === TargetState.Live;
 	}
 
 	/**
-	 * Whether this entry has it from the target itself, and should tell its peers. A closed connection is
-	 * not told: each entry sees its own, and one of them may be closed for its age alone.
+	 * Whether the target itself reported to this entry that it is leaving; this is shared with peers. Closed
+	 * connections are not shared: each entry has its own, and one may be closed because of its age.
 	 */
 	isSelfReportedLeaving(): boolean {
 		return this.reasons.has(LeavingReason.SelfReport);
 	}
 
-	/** The manifest in force names the target; call for each accepted version. */
+	/** Applies the target's intent in the manifest in force; call for each accepted version. */
 	noteManifest(intent: TargetIntent, version: ManifestVersion, nowMs: number): TargetState {
 		const isNewer = this.manifestVersion === undefined || version > this.manifestVersion;
 		this.manifestVersion = version;
@@ -120,12 +124,12 @@
 		return this.stateMachine.getState();
 	}
 
-	/** The manifest in force no longer names the target. */
+	/** Ends the lifecycle because the manifest in force no longer contains the target. */
 	remove(version: ManifestVersion): void {
 		this.applyEvent(TargetEvent.Remove, `manifest v${version}`);
 	}
 
-	/** The instance list arrived; it may be older than what is known. */
+	/** Applies an instance list, which may be older than other information about the target. */
 	noteListed(listed: ListedTarget | undefined, nowMs: number): TargetState {
 		if (listed === undefined) {
 			this.wasUnlisted = true;
@@ -144,19 +148,19 @@
 		return this.stateMachine.getState();
 	}
 
-	/** The target said on an answer that it is leaving. */
+	/** Records that the target sent the leaving header. */
 	noteSelfReport(nowMs: number): TargetState {
 		return this.addReason(LeavingReason.SelfReport, nowMs);
 	}
 
-	/** A peer had it from the target that it is leaving; call for each of the peer's views that says so. */
+	/** Records that a peer received the leaving header; call for each of the peer's views that includes the target. */
 	notePeerReport(nowMs: number): TargetState {
 		return this.addReason(LeavingReason.PeerReport, nowMs);
 	}
 
 	/**
-	 * An answer arrived without a word of leaving. A server that closes every connection says nothing by it:
-	 * read as leaving, it would never be used, so the close counts only after an answer without one.
+	 * Records an answer without the leaving header. A closed connection is a reason for leaving only if the target kept
+	 * a connection open before; otherwise a server that closes every connection would never be used.
 	 */
 	noteAnswer(isClosing: boolean, nowMs: number): TargetState {
 		this.consecutiveFailures = 0;
@@ -170,7 +174,7 @@
 		return this.stateMachine.getState();
 	}
 
-	/** No connection could be opened, or the target died with requests in flight. */
+	/** Records that no connection could be opened, or that the target crashed with requests in flight. */
 	noteFailure(nowMs: number): TargetState {
 		this.consecutiveFailures++;
 		if (
@@ -185,7 +189,7 @@
 		return this.applyEvent(TargetEvent.Suspect, `${this.consecutiveFailures} connections failed`);
 	}
 
-	/** When `startTrial` has something to do, or undefined. */
+	/** When `startProbe` must be called next, or undefined. */
 	getNextDueMs(): number | undefined {
 		switch (this.stateMachine.getState()) {
 			case TargetState.Suspect:
@@ -197,7 +201,7 @@
 		}
 	}
 
-	/** Whether a probe must be sent now; its end is told by `noteTrialAnswered` or `noteTrialFailed`. */
+	/** Returns whether a probe must be sent now; report its result to `noteProbeAnswered` or `noteProbeFailed`. */
 	startProbe(nowMs: number): boolean {
 		this.reasons.expire(nowMs);
 		this.clearIfNoReasons('time without a sign', nowMs);
@@ -209,8 +213,8 @@
 	}
 
 	/**
-	 * The probe was answered. A word of leaving on the answer is told by `noteOwnWord`, before this. A probe
-	 * that asks for a connection to be closed gets a close that says nothing: let it ask to keep it open.
+	 * Records that the probe was answered. If the answer has the leaving header, call `noteSelfReport` first. The probe
+	 * must request a persistent connection, so that a close by the target is meaningful.
 	 */
 	noteProbeAnswered(isClosing: boolean, nowMs: number): TargetState {
 		this.expireConnectionClose(nowMs);
@@ -222,7 +226,7 @@
 		return this.applyEvent(TargetEvent.Accept, 'trial accepted');
 	}
 
-	/** The probe was not answered. */
+	/** Records that the probe was not answered. */
 	noteProbeFailed(nowMs: number): TargetState {
 		if (this.stateMachine.getState() !== TargetState.Trial) {
 			return this.stateMachine.getState();
--- a/src/core/targets/common/targetLifecycles.ts
+++ b/src/core/targets/common/targetLifecycles.ts
@@ -1,6 +1,5 @@
 /**
- * The lives of all targets at one entry, fed by the manifest, the instance list, peers and the targets'
- * own answers.
+ * Lifecycles of all targets at one entry, updated from the manifest, the instance list, peers and the targets' answers.
  */
 
 import type { Stream } from 'most';
@@ -13,15 +12,15 @@
 import type { ListedTarget, TargetChange } from './targetLifecycle';
 import { TargetLifecycle } from './targetLifecycle';
 
-/** Which targets may be given requests. */
+/** Provides the state of targets and whether they may receive requests. */
 export interface ITargetLifecycles {
-	/** The id of each target whose state changed. */
+	/** Emits the id of a target when its state changes. */
 	readonly onDidChange: Stream<TargetId>;
 	findLifecycle(id: TargetId): TargetLifecycle | undefined;
 	isUsable(id: TargetId): boolean;
 }
 
-/** Owns one life for each target of the manifest in force. */
+/** Keeps a lifecycle for each target of the manifest in force. */
 export class TargetLifecycles extends Disposable implements ITargetLifecycles {
 	private readonly channel = this.register(new Channel<TargetId>());
 	private readonly lifecycles = new Map<TargetId, TargetLifecycle>();
@@ -33,7 +32,7 @@
 		super();
 	}
 
-	/** A manifest came into force. */
+	/** Adds and removes lifecycles according to a manifest that came into force. */
 	setManifest(targets: readonly ManifestTarget[], version: ManifestVersion, nowMs: number): void {
 		this.version = version;
 		const named = new Set(targets.map(target => target.id));
@@ -46,14 +45,14 @@
 		}
 	}
 
-	/** An instance list arrived. */
+	/** Applies an instance list to all targets. */
 	setInstanceList(listed: ReadonlyMap<TargetId, ListedTarget>, nowMs: number): void {
 		for (const [id, lifecycle] of this.lifecycles) {
 			lifecycle.noteListed(listed.get(id), nowMs);
 		}
 	}
 
-	/** A peer's view names the targets that told the peer itself that they are leaving. */
+	/** Records the targets that reported to a peer that they are leaving. */
 	noteLeavingReportedByPeer(ids: readonly TargetId[], nowMs: number): void {
 		for (const id of ids) {
 			this.lifecycles.get(id)?.notePeerReport(nowMs);
@@ -69,8 +68,8 @@
 	}
 
 	/**
-	 * For this entry's own view. Words heard from peers are left out: two entries that repeat each other's
-	 * word would keep it standing for good.
+	 * Returns the targets that reported to this entry itself that they are leaving, for the entry's own view. Reports
+	 * from peers are omitted, since two entries that repeat each other's reports would never let them expire.
 	 */
 	listSelfReportedLeaving(): readonly TargetId[] {
 		return [...this.lifecycles]
@@ -78,12 +77,12 @@
 			.map(([id]) => id);
 	}
 
-	/** The targets that must be probed now; the end of each probe is told to its life. */
+	/** Returns the targets that must be probed now; report the result of each probe to the target's lifecycle. */
 	startDueProbes(nowMs: number): readonly TargetId[] {
 		return [...this.lifecycles].filter(([, lifecycle]) => lifecycle.startProbe(nowMs)).map(([id]) => id);
 	}
 
-	/** When `startTrials` has something to do, in monotonic milliseconds, or undefined. */
+	/** When `startDueProbes` must be called next, in monotonic milliseconds, or undefined. */
 	getNextDueMs(): number | undefined {
 		const dues = [...this.lifecycles.values()]
 			.map(lifecycle => lifecycle.getNextDueMs())
--- a/src/core/targets/test/targetLifecycles.test.ts
+++ b/src/core/targets/test/targetLifecycles.test.ts
@@ -38,7 +38,7 @@
 	{ maxLength: 30 },
 );
 
-/** A target as it is, beside the life that an entry keeps of it from late and partial signs. */
+/** The actual state of a target, together with the lifecycle that an entry derives from late and incomplete reports. */
 class TargetModel {
 	nowMs = 0;
 	private isLeavingReported = false;
@@ -62,20 +62,20 @@
 			manifestLeaving: () =>
 				this.lifecycle.noteManifest(Leaving, ++this.version as ManifestVersion, this.nowMs),
 			peer: () => this.isLeaving && this.lifecycle.notePeerReport(this.nowMs),
-			ask: () => this.ask(),
+			ask: () => this.sendRequestOrProbe(),
 		};
 		actions[event]();
 		this.isLeavingReported ||= this.isLeaving && ['list', 'manifestLeaving', 'peer'].includes(event);
 		this.lists.push(createListed(this.bootCount, this.isLeaving));
 	}
 
-	/** A request where the life allows one, and a probe where it asks for one. */
-	ask(): TargetState | undefined {
-		const isTrial = this.lifecycle.startProbe(this.nowMs);
+	/** Sends a request if the lifecycle allows it, and a probe if one is due. */
+	sendRequestOrProbe(): TargetState | undefined {
+		const isProbeDue = this.lifecycle.startProbe(this.nowMs);
 		if (!this.isLeaving) {
-			return isTrial ? this.lifecycle.noteProbeAnswered(false, this.nowMs) : undefined;
+			return isProbeDue ? this.lifecycle.noteProbeAnswered(false, this.nowMs) : undefined;
 		}
-		const isAsked = isTrial || this.lifecycle.isUsable();
+		const isAsked = isProbeDue || this.lifecycle.isUsable();
 		this.isLeavingReported ||= isAsked;
 		return isAsked ? this.lifecycle.noteSelfReport(this.nowMs) : undefined;
 	}
@@ -85,7 +85,7 @@
 	}
 }
 
-/** What the property finds wrong with a life, or undefined where it holds. */
+/** Returns the violation of the property that fast-check finds, or undefined. */
 function findViolation(Lifecycle: typeof TargetLifecycle): string | undefined {
 	const property = fc.property(steps, all => {
 		const model = new TargetModel(createLifecycle(Lifecycle));
@@ -93,7 +93,7 @@
 			model.nowMs += waitMs;
 			model.applyEvent(event);
 			if (model.isViolated()) {
-				throw new Error('work for a leaving target');
+				throw new Error('leaving target is usable');
 			}
 		}
 		(['start', 'list', 'manifestLive'] as const).forEach(event => {
@@ -101,17 +101,17 @@
 		});
 		for (let round = 0; round < 100; round++) {
 			model.nowMs += 10_000;
-			model.ask();
+			model.sendRequestOrProbe();
 		}
 		if (!model.lifecycle.isUsable()) {
-			throw new Error('no work for a live target');
+			throw new Error('live target is not usable');
 		}
 	});
 	const { failed, errorInstance } = fc.check(property, { seed: 7, numRuns: 2_000 });
 	return failed ? String(errorInstance) : undefined;
 }
 
-/** Believes the list whenever it says `live`. */
+/** Faulty implementation that uses a target whenever the list contains it as live. */
 class ListTrustingLifecycle extends TargetLifecycle {
 	private isListedLive = false;
 
@@ -125,155 +125,152 @@
 	}
 }
 
-/** Takes a target back without asking it. */
+/** Faulty implementation that uses a target again without a probe. */
 class ProbelessLifecycle extends TargetLifecycle {
 	override isUsable(): boolean {
 		return super.isUsable() || this.getState() === TargetState.Suspect;
 	}
 }
 
-/** Never asks a target that left. */
+/** Faulty implementation that never probes a target. */
 class NeverProbingLifecycle extends TargetLifecycle {
 	override startProbe(): boolean {
 		return false;
 	}
 }
 
-describe('TargetLife', () => {
-	// Signs arrive in any order and the list lags. A target that leaves and still gets requests resets their
-	// connections when it stops; one that returned and gets none leaves the others to carry its part.
-	it('gives no work to a leaving target once a sign came, and takes it back when it has returned', () => {
+describe('TargetLifecycle', () => {
+	// Guards against two failures when reports arrive in any order and the list lags: requests to a leaving target end
+	// with a connection reset when it stops, and a target that returned but receives none overloads the other targets.
+	it('sends no requests to a target reported as leaving, and uses it again after its return', () => {
 		expect(findViolation(TargetLifecycle)).toBeUndefined();
 	});
 
 	it.each([
-		[ListTrustingLifecycle, 'work for a leaving target'],
-		[ProbelessLifecycle, 'work for a leaving target'],
-		[NeverProbingLifecycle, 'no work for a live target'],
-	])('is found wrong as %p', (Life, fault) => {
-		expect(findViolation(Life)).toContain(`Error: ${fault}`);
+		[ListTrustingLifecycle, 'leaving target is usable'],
+		[ProbelessLifecycle, 'leaving target is usable'],
+		[NeverProbingLifecycle, 'live target is not usable'],
+	])('fails the property as %p', (Lifecycle, violation) => {
+		expect(findViolation(Lifecycle)).toContain(`Error: ${violation}`);
 	});
 
-	const {
-		InstanceList,
-		Manifest,
-		SelfReport: OwnWord,
-		PeerReport: PeerWord,
-		ConnectionClose,
-	} = LeavingReason;
-	const addReason: Readonly<Record<LeavingReason, (life: TargetLifecycle) => unknown>> = {
-		[InstanceList]: life => life.noteListed(createListed(0, true), 0),
-		[Manifest]: life => life.noteManifest(Leaving, v2, 0),
-		[OwnWord]: life => life.noteSelfReport(0),
-		[PeerWord]: life => life.notePeerReport(0),
-		[ConnectionClose]: life => {
-			life.noteAnswer(false, 0);
-			life.noteAnswer(true, 0);
+	const { InstanceList, Manifest, SelfReport, PeerReport, ConnectionClose } = LeavingReason;
+	const addReason: Readonly<Record<LeavingReason, (lifecycle: TargetLifecycle) => unknown>> = {
+		[InstanceList]: lifecycle => lifecycle.noteListed(createListed(0, true), 0),
+		[Manifest]: lifecycle => lifecycle.noteManifest(Leaving, v2, 0),
+		[SelfReport]: lifecycle => lifecycle.noteSelfReport(0),
+		[PeerReport]: lifecycle => lifecycle.notePeerReport(0),
+		[ConnectionClose]: lifecycle => {
+			lifecycle.noteAnswer(false, 0);
+			lifecycle.noteAnswer(true, 0);
 		},
 	};
 
-	// Only one of the signs gets through, and the list goes on saying that the target is live.
+	// Guards against using a leaving target if only one of the reasons is reported and the list still contains `live`.
 	it.each(Object.values(LeavingReason))(
-		'leaves at once by the sign %s alone, whatever a late list says',
-		sign => {
-			const life = createLifecycle();
-			addReason[sign](life);
-			life.noteListed(createListed(0), 1);
-			expect([life.getState(), life.startProbe(1)]).toEqual([TargetState.Leaving, false]);
+		'is leaving at once for the reason %s alone, even if an outdated list contains live',
+		reason => {
+			const lifecycle = createLifecycle();
+			addReason[reason](lifecycle);
+			lifecycle.noteListed(createListed(0), 1);
+			expect([lifecycle.getState(), lifecycle.startProbe(1)]).toEqual([TargetState.Leaving, false]);
 		},
 	);
 
-	// What does not speak of the reason for leaving must not end it, or the target is asked, and may be
-	// used, while it is still to be taken down.
-	it.each<[string, LeavingReason, boolean, (life: TargetLifecycle) => unknown]>([
-		['the same manifest again', OwnWord, false, life => life.noteManifest(Live, v1, 1)],
-		['a newer manifest', OwnWord, true, life => life.noteManifest(Live, v2, 1)],
-		['a newer manifest', InstanceList, false, life => life.noteManifest(Live, v2, 1)],
-		['another boot on the list', InstanceList, true, life => life.noteListed(createListed(1), 1)],
-		['another boot on the list', Manifest, false, life => life.noteListed(createListed(1), 1)],
+	// Guards against removing a reason because of unrelated information: the target would be probed and could be used
+	// although it is about to be stopped.
+	it.each<[string, LeavingReason, boolean, (lifecycle: TargetLifecycle) => unknown]>([
+		['the same manifest again', SelfReport, false, lifecycle => lifecycle.noteManifest(Live, v1, 1)],
+		['a newer manifest', SelfReport, true, lifecycle => lifecycle.noteManifest(Live, v2, 1)],
+		['a newer manifest', InstanceList, false, lifecycle => lifecycle.noteManifest(Live, v2, 1)],
+		['another boot on the list', InstanceList, true, lifecycle => lifecycle.noteListed(createListed(1), 1)],
+		['another boot on the list', Manifest, false, lifecycle => lifecycle.noteListed(createListed(1), 1)],
 		[
 			'the list after a gap',
 			InstanceList,
 			true,
-			life => {
-				life.noteListed(undefined, 1);
-				life.noteListed(createListed(0), 1);
+			lifecycle => {
+				lifecycle.noteListed(undefined, 1);
+				lifecycle.noteListed(createListed(0), 1);
 			},
 		],
-	])('lets %s undo a leaving by the %s: %p', (_, sign, isAsked, note) => {
-		const life = createLifecycle();
-		addReason[sign](life);
-		note(life);
-		expect(life.startProbe(1)).toBe(isAsked);
+	])('%s removes the reason %s: %p', (_, reason, isProbed, note) => {
+		const lifecycle = createLifecycle();
+		addReason[reason](lifecycle);
+		note(lifecycle);
+		expect(lifecycle.startProbe(1)).toBe(isProbed);
 	});
 
-	// A server closes every connection because it was set up that way, from the start or from some day on.
-	// Read as leaving for good, its service would refuse everything.
-	it('does not take a habit of closing connections for leaving', () => {
-		const life = createLifecycle();
-		life.noteAnswer(true, 0);
-		expect(life.isUsable()).toBe(true);
-		addReason[ConnectionClose](life);
+	// Guards against a service without usable targets because its servers are configured to close every connection, from
+	// the start or after a change.
+	it('does not treat a server that always closes connections as leaving', () => {
+		const lifecycle = createLifecycle();
+		lifecycle.noteAnswer(true, 0);
+		expect(lifecycle.isUsable()).toBe(true);
+		addReason[ConnectionClose](lifecycle);
 		for (let nowMs = 1_000; nowMs < 600_000; nowMs += 1_000) {
-			if (life.startProbe(nowMs)) {
-				life.noteProbeAnswered(true, nowMs);
+			if (lifecycle.startProbe(nowMs)) {
+				lifecycle.noteProbeAnswered(true, nowMs);
 			}
-			expect(life.isUsable()).toBe(false);
+			expect(lifecycle.isUsable()).toBe(false);
 		}
-		expect(life.startProbe(900_000)).toBe(true);
-		life.noteProbeAnswered(true, 900_000);
-		expect(life.isUsable()).toBe(true);
+		expect(lifecycle.startProbe(900_000)).toBe(true);
+		lifecycle.noteProbeAnswered(true, 900_000);
+		expect(lifecycle.isUsable()).toBe(true);
 	});
 
-	it('asks a target that cannot be reached at growing intervals until it answers', () => {
-		const life = createLifecycle();
+	it('probes an unreachable target at increasing intervals until it answers', () => {
+		const lifecycle = createLifecycle();
 		[0, 1].forEach(nowMs => {
-			life.noteFailure(nowMs);
+			lifecycle.noteFailure(nowMs);
 		});
-		life.noteAnswer(false, 2);
+		lifecycle.noteAnswer(false, 2);
 		[3, 4, 5].forEach(nowMs => {
-			expect(life.isUsable()).toBe(true);
-			life.noteFailure(nowMs);
+			expect(lifecycle.isUsable()).toBe(true);
+			lifecycle.noteFailure(nowMs);
 		});
-		expect([life.getState(), life.getNextDueMs()]).toEqual([TargetState.Suspect, 505]);
-		expect([504, 505, 505].map(nowMs => life.startProbe(nowMs))).toEqual([false, true, false]);
-		life.noteProbeFailed(600);
-		expect([life.isUsable(), life.getNextDueMs()]).toEqual([false, 1_600]);
-		expect(life.startProbe(1_600)).toBe(true);
-		life.noteProbeAnswered(true, 1_700);
-		expect(life.isUsable()).toBe(true);
+		expect([lifecycle.getState(), lifecycle.getNextDueMs()]).toEqual([TargetState.Suspect, 505]);
+		expect([504, 505, 505].map(nowMs => lifecycle.startProbe(nowMs))).toEqual([false, true, false]);
+		lifecycle.noteProbeFailed(600);
+		expect([lifecycle.isUsable(), lifecycle.getNextDueMs()]).toEqual([false, 1_600]);
+		expect(lifecycle.startProbe(1_600)).toBe(true);
+		lifecycle.noteProbeAnswered(true, 1_700);
+		expect(lifecycle.isUsable()).toBe(true);
 	});
 
-	it('waits longer each time that a target leaves again soon after it came back', () => {
-		const life = createLifecycle();
-		const quietTimes = [0, 1, 2, 3, 4].map(() => {
-			const leftMs = life.getNextDueMs() ?? 0;
-			life.noteSelfReport(leftMs);
-			const dueMs = life.getNextDueMs()!;
-			expect(life.startProbe(dueMs)).toBe(true);
+	it('doubles the expiry time each time a target leaves soon after its return', () => {
+		const lifecycle = createLifecycle();
+		const expiryTimes = [0, 1, 2, 3, 4].map(() => {
+			const leftMs = lifecycle.getNextDueMs() ?? 0;
+			lifecycle.noteSelfReport(leftMs);
+			const dueMs = lifecycle.getNextDueMs()!;
+			expect(lifecycle.startProbe(dueMs)).toBe(true);
 			return dueMs - leftMs;
 		});
-		expect(quietTimes).toEqual([5_000, 10_000, 20_000, 30_000, 30_000]);
+		expect(expiryTimes).toEqual([5_000, 10_000, 20_000, 30_000, 30_000]);
 	});
 });
 
-describe('TargetLives', () => {
-	it('follows the manifest, tells changes and passes on own words only', () => {
+describe('TargetLifecycles', () => {
+	it('follows the manifest, emits changes and lists only self-reported targets as leaving', () => {
 		const records: unknown[] = [];
 		const trail = { record: (change: unknown) => records.push(change) } as unknown as IAuditTrail;
-		const lives = new TargetLifecycles(trail);
+		const lifecycles = new TargetLifecycles(trail);
 		const changed: string[] = [];
-		subscribeTo(lives.onDidChange, id => changed.push(id));
+		subscribeTo(lifecycles.onDidChange, id => changed.push(id));
 		const [first, second] = ['t1', 't2'] as [TargetId, TargetId];
 		const targets = [first, second].map(id => ({ id, intent: Live }) as ManifestTarget);
-		lives.setManifest(targets, v1, 0);
-		lives.findLifecycle(first)?.noteSelfReport(0);
-		lives.noteLeavingReportedByPeer([second], 0);
-		[false, true].forEach(isClosing => lives.findLifecycle(second)?.noteAnswer(isClosing, 0));
-		expect(lives.listSelfReportedLeaving()).toEqual([first]);
-		expect([lives.startDueProbes(4_999), lives.startDueProbes(5_000)]).toEqual([[], [first, second]]);
-		lives.setManifest(targets.slice(1), v2, 5_000);
-		expect([lives.findLifecycle(first), lives.isUsable(second)]).toEqual([undefined, false]);
+		lifecycles.setManifest(targets, v1, 0);
+		lifecycles.findLifecycle(first)?.noteSelfReport(0);
+		lifecycles.noteLeavingReportedByPeer([second], 0);
+		[false, true].forEach(isClosing => lifecycles.findLifecycle(second)?.noteAnswer(isClosing, 0));
+		expect(lifecycles.listSelfReportedLeaving()).toEqual([first]);
+		expect([lifecycles.startDueProbes(4_999), lifecycles.startDueProbes(5_000)]).toEqual([
+			[],
+			[first, second],
+		]);
+		lifecycles.setManifest(targets.slice(1), v2, 5_000);
+		expect([lifecycles.findLifecycle(first), lifecycles.isUsable(second)]).toEqual([undefined, false]);
 		expect(changed).toEqual(['t1', 't2', 't1', 't1', 't2', 't2', 't1']);
 		expect(records[0]).toMatchObject({ subject: 't1', from: 'live', to: 'leaving', sign: 'own word' });
 	});
