--- a/src/bin/ctl.ts
+++ b/src/bin/ctl.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * `anvilroadctl`: the operators' command line.
+ * `anvilroadctl`: the command-line tool for operators.
  */
 
 import { SystemTimerService } from '../base/node/systemTimerService';
@@ -8,8 +8,8 @@
 import { Program } from '../ctl/node/program';
 import { version } from '../../package.json';
 
-/** Above any wait; the period of a timer that only keeps the process running. */
-const holdPeriodMs = 60_000;
+/** Period of a timer that does nothing except keep the process running. */
+const keepAlivePeriodMs = 60_000;
 
 const output: ICommandOutput = {
 	write: line => {
@@ -20,7 +20,7 @@
 	},
 };
 
-/** A reader such as `head` closes the pipe when it has enough; that is no fault of this program. */
+/** Exits without an error if the reader of a pipe, such as `head`, closes the pipe early. */
 function handleClosedPipe(error: NodeJS.ErrnoException): void {
 	if (error.code !== 'EPIPE') {
 		throw error;
@@ -34,19 +34,20 @@
 		stop.abort();
 	});
 	process.stdout.on('error', handleClosedPipe);
-	// The timer service never keeps a process alive; while a trail is followed nothing else would.
-	const hold = setInterval(() => undefined, holdPeriodMs);
+	// The timers of the timer service do not keep the process alive, and nothing else does while a trail is
+	// followed.
+	const keepAlive = setInterval(() => undefined, keepAlivePeriodMs);
 	const program = new Program({
 		timerService: new SystemTimerService(),
 		output,
 		environment: process.env,
 		version,
-		stop: stop.signal,
+		stopSignal: stop.signal,
 	});
 	try {
 		process.exitCode = await program.run(process.argv.slice(2));
 	} finally {
-		clearInterval(hold);
+		clearInterval(keepAlive);
 	}
 }
 
--- a/src/ctl/common/exitCode.ts
+++ b/src/ctl/common/exitCode.ts
@@ -1,11 +1,11 @@
 /**
- * The exit codes of `anvilroadctl`; docs/OPERATIONS.md tells them to those who write scripts.
+ * The exit codes of `anvilroadctl`, documented for script authors in docs/OPERATIONS.md.
  */
 
 export enum ExitCode {
-	Fine = 0,
-	/** What was asked about is not right, or could not be reached. */
-	NotRight = 1,
-	/** Bad usage: unknown option, missing entry, unreadable file. */
+	Success = 0,
+	/** A check failed, or an entry is unreachable, not ready or without the requested record. */
+	Failure = 1,
+	/** Invalid command line, such as an unknown option or a missing entry, or an unreadable file. */
 	BadUsage = 2,
 }
--- a/src/ctl/common/manifestDiff.ts
+++ b/src/ctl/common/manifestDiff.ts
@@ -1,7 +1,7 @@
 /**
- * What changes when one manifest replaces another, by place. Lists of named things are compared by name, so
- * that a target put in at the top does not show as a change of every target after it; call rules are
- * compared by position, since the first that matches decides.
+ * Computes the differences between two manifests, each with its path in the document. Lists of objects with
+ * unique names are compared by name, so that a target inserted at the top does not appear as a change of every
+ * later target. Call rules are compared by position, because the first matching rule applies.
  */
 
 import type { Manifest } from '../../core/manifest/common/manifest';
@@ -12,10 +12,10 @@
 	Changed = 'changed',
 }
 
-/** One difference. */
+/** One difference between two manifests. */
 export interface ManifestChange {
 	readonly kind: ChangeKind;
-	/** Such as `services[bookings].slotsPerTarget`. */
+	/** Path in the document, such as `services[bookings].slotsPerTarget`. */
 	readonly place: string;
 	readonly from: unknown;
 	readonly to: unknown;
@@ -27,8 +27,8 @@
 	return typeof value === 'object' && value !== null && !Array.isArray(value);
 }
 
-/** What a list's member is known by: its name, its id or, for a link, its two ends in either order. */
-function findMemberName(member: unknown): string | undefined {
+/** Returns the key of a list member: its id, its name or, for a link, its two regions in sorted order. */
+function findMemberKey(member: unknown): string | undefined {
 	if (!isObject(member)) {
 		return undefined;
 	}
@@ -39,20 +39,20 @@
 	return Array.isArray(member.between) ? member.between.map(String).sort().join(' ') : undefined;
 }
 
-/** The members of a list by name, or by position where names are missing or stand twice. */
-function listMembers(list: readonly unknown[]): Map<string, unknown> {
-	const names = list.map(findMemberName);
-	const isNamed = names.every(name => name !== undefined) && new Set(names).size === names.length;
-	return new Map(list.map((member, index) => [isNamed ? (names[index] ?? '') : String(index), member]));
+/** Maps the members of a list by key, or by position if any key is missing or occurs twice. */
+function listMembersByKey(list: readonly unknown[]): Map<string, unknown> {
+	const keys = list.map(findMemberKey);
+	const hasUniqueKeys = keys.every(key => key !== undefined) && new Set(keys).size === keys.length;
+	return new Map(list.map((member, index) => [hasUniqueKeys ? (keys[index] ?? '') : String(index), member]));
 }
 
 function compareMembers(
 	from: ReadonlyMap<string, unknown>,
 	to: ReadonlyMap<string, unknown>,
-	formatPlace: (name: string) => string,
+	formatPlace: (key: string) => string,
 ): ManifestChange[] {
-	const names = [...new Set([...from.keys(), ...to.keys()])];
-	return names.flatMap(name => compareValues(from.get(name), to.get(name), formatPlace(name)));
+	const keys = [...new Set([...from.keys(), ...to.keys()])];
+	return keys.flatMap(key => compareValues(from.get(key), to.get(key), formatPlace(key)));
 }
 
 function isListOfObjects(value: unknown): value is readonly unknown[] {
@@ -64,7 +64,7 @@
 		return from === to ? [] : [createChange(from, to, place)];
 	}
 	if (isListOfObjects(from) && isListOfObjects(to)) {
-		return compareMembers(listMembers(from), listMembers(to), name => `${place}[${name}]`);
+		return compareMembers(listMembersByKey(from), listMembersByKey(to), name => `${place}[${name}]`);
 	}
 	if (isObject(from) && isObject(to)) {
 		return compareMembers(new Map(Object.entries(from)), new Map(Object.entries(to)), name =>
@@ -81,12 +81,12 @@
 	return { kind: to === undefined ? ChangeKind.Removed : ChangeKind.Changed, place, from, to };
 }
 
-/** The changes in the order of the document; defaults count as written out. */
+/** Lists the changes in document order. Omitted settings are compared by their default values. */
 export function compareManifests(from: Manifest, to: Manifest): ManifestChange[] {
 	return compareValues(from, to, '');
 }
 
-/** `+ place value`, `- place`, `~ place: from -> to`. */
+/** Renders a change as `+ place value`, `- place` or `~ place: from -> to`. */
 export function renderManifestChange(change: ManifestChange): string {
 	switch (change.kind) {
 		case ChangeKind.Added:
--- a/src/ctl/common/renderEntries.ts
+++ b/src/ctl/common/renderEntries.ts
@@ -1,9 +1,10 @@
 /**
- * `anvilroadctl entries`: the fleet as the asked entries see it, one line for each entry.
+ * Renders the output of `anvilroadctl entries`: one line for each gateway instance of the fleet, from the status
+ * of the queried entries.
  */
 
 import type { EntryStatus } from '../../core/status/common/entryStatus';
-import { formatDigest, formatDuration } from './formatting';
+import { formatShortDigest, formatDuration } from './formatting';
 import type { Column } from './table';
 import { renderTable } from './table';
 
@@ -31,7 +32,7 @@
 	{ heading: 'SEEN', render: row => row.seen },
 ];
 
-function sumOver(status: EntryStatus, key: 'queued' | 'running'): string {
+function sumServices(status: EntryStatus, key: 'queued' | 'running'): string {
 	return String(status.services.reduce((sum, service) => sum + service[key], 0));
 }
 
@@ -42,34 +43,34 @@
 	return status.readiness.isReady ? 'ready' : 'not ready';
 }
 
-function createAskedRow(status: EntryStatus): EntryRow {
+function createQueriedRow(status: EntryStatus): EntryRow {
 	return {
 		instance: status.instance,
 		region: status.region,
 		zone: status.zone,
 		state: describeState(status),
 		manifestVersion: status.manifest?.version ?? null,
-		digest: formatDigest(status.manifest?.digest ?? '-'),
-		queued: sumOver(status, 'queued'),
-		running: sumOver(status, 'running'),
+		digest: formatShortDigest(status.manifest?.digest ?? '-'),
+		queued: sumServices(status, 'queued'),
+		running: sumServices(status, 'running'),
 		seen: 'asked',
 	};
 }
 
-/** Entries that were not asked, each by the newest view that an asked one has of it. */
+/** Lists the entries that were not queried, each with the newest view that a queried entry holds of that peer. */
 function listPeerRows(statuses: readonly EntryStatus[]): EntryRow[] {
-	const asked = new Set(statuses.map(status => status.instance));
+	const queried = new Set(statuses.map(status => status.instance));
 	const newest = new Map<string, { row: EntryRow; ageMs: number }>();
-	for (const { instance: by, peers } of statuses) {
+	for (const { instance: reporter, peers } of statuses) {
 		for (const peer of peers) {
 			const ageMs = peer.viewAgeMs ?? Number.POSITIVE_INFINITY;
 			if (
-				asked.has(peer.instance) ||
+				queried.has(peer.instance) ||
 				ageMs > (newest.get(peer.instance)?.ageMs ?? Number.POSITIVE_INFINITY)
 			) {
 				continue;
 			}
-			const seen = `by ${by}, ${formatDuration(peer.viewAgeMs)} ago`;
+			const seen = `by ${reporter}, ${formatDuration(peer.viewAgeMs)} ago`;
 			newest.set(peer.instance, { row: { ...peer, digest: '-', queued: '-', running: '-', seen }, ageMs });
 		}
 	}
@@ -77,8 +78,8 @@
 }
 
 /**
- * Names what must not differ between entries for long: the manifest in force, and one version with two
- * documents, which no wait mends.
+ * Describes manifest differences between entries. Different versions are normal for a short time after a
+ * publication. Two documents with the same version never converge, so a higher version must be published.
  */
 export function findManifestDifferences(statuses: readonly EntryStatus[]): string[] {
 	const digestsByVersion = new Map<number, Set<string>>();
@@ -92,14 +93,12 @@
 	const conflicts = versions.filter(version => (digestsByVersion.get(version)?.size ?? 0) > 1);
 	return [
 		...(versions.length > 1 ? [`entries are on different manifests: ${versions.join(', ')}`] : []),
-		...conflicts.map(
-			version => `manifest ${version} stands in two different forms; publish a higher version`,
-		),
+		...conflicts.map(version => `manifest ${version} has two different documents; publish a higher version`),
 	];
 }
 
 export function renderEntries(statuses: readonly EntryStatus[]): string[] {
-	const rows = [...statuses.map(createAskedRow), ...listPeerRows(statuses)].sort(
+	const rows = [...statuses.map(createQueriedRow), ...listPeerRows(statuses)].sort(
 		(left, right) =>
 			left.region.localeCompare(right.region) ||
 			left.zone.localeCompare(right.zone) ||
--- a/src/ctl/common/renderExplain.ts
+++ b/src/ctl/common/renderExplain.ts
@@ -1,9 +1,9 @@
 /**
- * `anvilroadctl explain`: what one entry decided on one request, a line for each step.
+ * Renders the output of `anvilroadctl explain`: the decisions of one entry on one request, one line for each step.
  */
 
 import type { ExplainAnswer } from '../../core/status/common/operatorsAnswers';
-import { formatText } from './formatting';
+import { formatForTerminal } from './formatting';
 import type { Column } from './table';
 import { renderTable } from './table';
 
@@ -18,8 +18,8 @@
 export function renderExplain(answer: ExplainAnswer): string[] {
 	const { id, instance, at, service, organisation, requestClass, steps } = answer;
 	return [
-		formatText(`request ${id} at ${instance}, arrived ${at}`),
-		formatText(`${service} for ${organisation}, class ${requestClass}`),
+		formatForTerminal(`request ${id} at ${instance}, arrived ${at}`),
+		formatForTerminal(`${service} for ${organisation}, class ${requestClass}`),
 		'',
 		...renderTable(columns, steps),
 	];
--- a/src/ctl/common/renderStatus.ts
+++ b/src/ctl/common/renderStatus.ts
@@ -1,5 +1,5 @@
 /**
- * `anvilroadctl status`: one entry on one screen.
+ * Renders the output of `anvilroadctl status`: the state of one entry, short enough for one screen by default.
  */
 
 import type {
@@ -8,12 +8,12 @@
 	ServiceStatus,
 	TargetStatus,
 } from '../../core/status/common/entryStatus';
-import { formatBytes, formatDigest, formatDuration, formatText } from './formatting';
+import { formatBytes, formatShortDigest, formatDuration, formatForTerminal } from './formatting';
 import type { Column } from './table';
 import { renderTable } from './table';
 
-/** Rows of one table on one screen; `--all` lifts the bound. */
-export const mostRows = 15;
+/** Maximum rows of each table unless `--all` is given. */
+export const defaultMaxRows = 15;
 
 const serviceColumns: readonly Column<ServiceStatus>[] = [
 	{ heading: 'SERVICE', render: row => row.service },
@@ -42,8 +42,8 @@
 ];
 
 /**
- * Puts the states that the fewest rows are in first. In a fleet of hundreds what an operator looks for is
- * what differs from the rest, and a bounded table must not cut just that off.
+ * Sorts rows by how few rows share their state, rarest state first. In a fleet of hundreds, operators look for
+ * the rows that differ from the rest, and truncating a table must not hide those rows.
  */
 export function sortByRarity<TRow extends { readonly state: string }>(rows: readonly TRow[]): TRow[] {
 	const counts = new Map<string, number>();
@@ -56,55 +56,55 @@
 	);
 }
 
-function renderBounded<TRow>(
+function renderTruncated<TRow>(
 	columns: readonly Column<TRow>[],
 	rows: readonly TRow[],
-	most: number,
+	maxRows: number,
 ): string[] {
 	if (rows.length === 0) {
 		return [];
 	}
-	const hidden = rows.length - most;
+	const hiddenRows = rows.length - maxRows;
 	return [
 		'',
-		...renderTable(columns, rows.slice(0, most)),
-		...(hidden > 0 ? [`... and ${hidden} more: --all shows them`] : []),
+		...renderTable(columns, rows.slice(0, maxRows)),
+		...(hiddenRows > 0 ? [`... and ${hiddenRows} more: --all shows them`] : []),
 	];
 }
 
 function renderReadiness(status: EntryStatus): string {
 	const { isReady, reasons } = status.readiness;
 	const leaving = status.isLeaving ? ', leaving' : '';
-	return isReady ? `ready${leaving}` : `NOT READY${leaving}: ${formatText(reasons.join('; '))}`;
+	return isReady ? `ready${leaving}` : `NOT READY${leaving}: ${formatForTerminal(reasons.join('; '))}`;
 }
 
 function renderManifest(status: EntryStatus): string {
 	const { manifest, platform } = status;
-	const seen =
+	const platformRead =
 		platform.lastReadAgeMs === null
 			? 'platform not read yet'
 			: `platform read ${formatDuration(platform.lastReadAgeMs)} ago`;
 	if (manifest === null) {
-		return `no manifest; ${seen}`;
+		return `no manifest; ${platformRead}`;
 	}
 	const { version, digest, ageMs } = manifest;
-	return `manifest ${version} (${formatDigest(digest)}), in force for ${formatDuration(ageMs)}; ${seen}`;
+	return `manifest ${version} (${formatShortDigest(digest)}), in force for ${formatDuration(ageMs)}; ${platformRead}`;
 }
 
-/** @param isWhole Whether long tables are shown whole. */
-export function renderStatus(status: EntryStatus, isWhole = false): string[] {
-	const most = isWhole ? Number.POSITIVE_INFINITY : mostRows;
+/** @param hasAllRows Whether tables show all rows instead of at most `defaultMaxRows`. */
+export function renderStatus(status: EntryStatus, hasAllRows = false): string[] {
+	const maxRows = hasAllRows ? Number.POSITIVE_INFINITY : defaultMaxRows;
 	const { instance, region, zone, boot, version, uptimeMs } = status;
 	const held = `${formatBytes(status.heldBytes)} of ${formatBytes(status.mostHeldBytes)}`;
 	return [
-		formatText(
+		formatForTerminal(
 			`${instance}  ${region}/${zone}  up ${formatDuration(uptimeMs)}  boot ${boot}  anvilroad ${version}`,
 		),
 		renderReadiness(status),
 		renderManifest(status),
 		`bodies held: ${held}; spent tickets remembered: ${status.ticketsOutstanding}`,
-		...renderBounded(serviceColumns, status.services, most),
-		...renderBounded(targetColumns, sortByRarity(status.targets), most),
-		...renderBounded(peerColumns, sortByRarity(status.peers), most),
+		...renderTruncated(serviceColumns, status.services, maxRows),
+		...renderTruncated(targetColumns, sortByRarity(status.targets), maxRows),
+		...renderTruncated(peerColumns, sortByRarity(status.peers), maxRows),
 	];
 }
--- a/src/ctl/common/renderTrail.ts
+++ b/src/ctl/common/renderTrail.ts
@@ -1,21 +1,21 @@
 /**
- * `anvilroadctl trail`: changes of state, oldest first, a line for each.
+ * Renders the output of `anvilroadctl trail`: one line for each audit record, oldest first.
  */
 
 import type { TrailRecord } from '../../core/status/common/operatorsAnswers';
-import { formatText } from './formatting';
+import { formatForTerminal } from './formatting';
 
-/** A change and the entry that recorded it. */
-export interface TrailLine {
+/** An audit record and the instance that recorded it. */
+export interface InstanceTrailRecord {
 	readonly instance: string;
 	readonly record: TrailRecord;
 }
 
 /**
- * Puts the changes of several entries together by their wall clocks, which may differ a little. Those of a
- * single entry keep its own order, which a clock set back cannot disturb.
+ * Merges the audit records of several entries by timestamp. The wall clocks of the entries may differ slightly.
+ * The records of a single entry keep their recorded order, even if its clock was set back in between.
  */
-export function mergeTrails(trails: readonly (readonly TrailLine[])[]): TrailLine[] {
+export function mergeTrails(trails: readonly (readonly InstanceTrailRecord[])[]): InstanceTrailRecord[] {
 	const [first = [], ...others] = trails;
 	if (others.length === 0) {
 		return [...first];
@@ -23,10 +23,10 @@
 	return trails.flat().sort((left, right) => left.record.at.localeCompare(right.record.at));
 }
 
-/** `2026-01-01T08:00:00.000Z  entry-1  target bookings-1: serving -> failed  (connect refused; manifest 12)`. */
-export function renderTrailLine({ instance, record }: TrailLine): string {
+/** Renders `2026-01-01T08:00:00.000Z  entry-1  target bookings-1: serving -> failed  (connect refused; manifest 12)`. */
+export function renderTrailRecord({ instance, record }: InstanceTrailRecord): string {
 	const { at, kind, subject, from, to, sign, manifestVersion } = record;
 	const changed = subject === kind ? kind : `${kind} ${subject}`;
 	const version = manifestVersion === null ? '' : `; manifest ${manifestVersion}`;
-	return formatText(`${at}  ${instance}  ${changed}: ${from} -> ${to}  (${sign}${version})`);
+	return formatForTerminal(`${at}  ${instance}  ${changed}: ${from} -> ${to}  (${sign}${version})`);
 }
--- a/src/ctl/node/checkManifestCommand.ts
+++ b/src/ctl/node/checkManifestCommand.ts
@@ -1,6 +1,6 @@
 /**
- * `anvilroadctl check manifest`: the same check that every entry makes, and what the document would change
- * against another file or the manifest in force at an entry.
+ * `anvilroadctl check manifest`: runs the same validation as every entry and lists the changes from another file
+ * or from the manifest in force at an entry.
  */
 
 import type { Result } from 'neverthrow';
@@ -12,18 +12,18 @@
 import type { ManifestChange } from '../common/manifestDiff';
 import { compareManifests, renderManifestChange } from '../common/manifestDiff';
 import type { ICommand, ICommandOutput } from './command';
-import { renderClientFault, writeAnswer } from './command';
+import { renderClientError, writeResult } from './command';
 import type { OperatorsClient } from './operatorsClient';
 import { readTextFile } from './textFile';
 
 export interface CheckManifestOptions {
 	readonly file: string;
-	/** A file or the URL of an operators' port. */
+	/** A file or the URL of the operators' port of an entry. */
 	readonly against: string | undefined;
 	readonly isJson: boolean;
 }
 
-/** The manifest compared with, and what to call it. */
+/** The manifest to compare with, and its name in the output. */
 interface Baseline {
 	readonly name: string;
 	readonly manifest: Manifest;
@@ -33,7 +33,7 @@
 	return place === '' ? `${file}: ${problem}` : `${file}: ${place}: ${problem}`;
 }
 
-function countThings(manifest: Manifest): string {
+function formatContents(manifest: Manifest): string {
 	const { services, targets, organisations, regions } = manifest;
 	return [
 		formatCount(regions.length, 'region'),
@@ -50,7 +50,10 @@
 		private readonly options: CheckManifestOptions,
 	) {}
 
-	/** Not right where the document has faults or there is nothing to compare with; bad usage where unreadable. */
+	/**
+	 * Returns `Failure` if the document has faults or the manifest to compare with is unavailable, and `BadUsage` if
+	 * the file cannot be read.
+	 */
 	async run(): Promise<ExitCode> {
 		const { file, against } = this.options;
 		const text = readTextFile(file);
@@ -61,19 +64,19 @@
 		const parsed = parseManifest(text.value);
 		if (parsed.isErr()) {
 			this.writeFaults(parsed.error);
-			return ExitCode.NotRight;
+			return ExitCode.Failure;
 		}
-		return against === undefined ? this.endRight(parsed.value) : this.compare(parsed.value, against);
+		return against === undefined ? this.writeSuccess(parsed.value) : this.compare(parsed.value, against);
 	}
 
 	private async compare(manifest: Manifest, against: string): Promise<ExitCode> {
 		const baseline = await this.fetchBaseline(against);
 		if (baseline.isErr()) {
-			this.endRight(manifest);
+			this.writeSuccess(manifest);
 			this.output.writeError(baseline.error);
-			return ExitCode.NotRight;
+			return ExitCode.Failure;
 		}
-		return this.endRight(manifest, baseline.value);
+		return this.writeSuccess(manifest, baseline.value);
 	}
 
 	private fetchBaseline(against: string): Promise<Result<Baseline, string>> {
@@ -86,37 +89,39 @@
 		return readTextFile(file).andThen(text =>
 			parseManifest(text)
 				.map(manifest => ({ name: file, manifest }))
-				.mapErr(() => `${file}: is no valid manifest; nothing to compare with`),
+				.mapErr(() => `${file}: is not a valid manifest; cannot compare`),
 		);
 	}
 
 	private async fetchManifestInForce(entry: string): Promise<Result<Baseline, string>> {
 		const fetched = await this.client.fetchManifest(entry);
 		if (fetched.isErr()) {
-			return err(renderClientFault(entry, fetched.error));
+			return err(renderClientError(entry, fetched.error));
 		}
 		const { version, document } = fetched.value.value;
 		const checked = checkManifest(document);
 		return checked.isOk()
 			? ok({ name: `manifest ${version} in force at ${entry}`, manifest: checked.value })
-			: err(`${entry}: the manifest in force is not one that this program knows; compare versions`);
+			: err(
+					`${entry}: the manifest in force fails the check of this program; the program versions may differ`,
+				);
 	}
 
 	private writeFaults(faults: readonly DocumentFault[]): void {
 		const { file, isJson } = this.options;
-		writeAnswer(this.output, isJson, { file, isRight: false, faults }, () =>
+		writeResult(this.output, isJson, { file, isRight: false, faults }, () =>
 			faults.map(fault => formatDocumentFault(file, fault)),
 		);
 	}
 
-	private endRight(manifest: Manifest, baseline?: Baseline): ExitCode {
+	private writeSuccess(manifest: Manifest, baseline?: Baseline): ExitCode {
 		const { file, isJson } = this.options;
 		const changes = baseline && compareManifests(baseline.manifest, manifest);
-		writeAnswer(this.output, isJson, { file, isRight: true, against: baseline?.name, changes }, () => [
-			`${file}: right (${countThings(manifest)})`,
+		writeResult(this.output, isJson, { file, isRight: true, against: baseline?.name, changes }, () => [
+			`${file}: right (${formatContents(manifest)})`,
 			...(baseline && changes ? this.renderChanges(baseline, changes) : []),
 		]);
-		return ExitCode.Fine;
+		return ExitCode.Success;
 	}
 
 	private renderChanges(baseline: Baseline, changes: readonly ManifestChange[]): string[] {
--- a/src/ctl/node/checkSettingsCommand.ts
+++ b/src/ctl/node/checkSettingsCommand.ts
@@ -1,5 +1,5 @@
 /**
- * `anvilroadctl check settings`: the same check that the program makes when it starts.
+ * `anvilroadctl check settings`: runs the same validation as the program for which the settings are written.
  */
 
 import type { z } from 'zod';
@@ -7,10 +7,10 @@
 import { formatSettingsFault, parseSettings } from '../../core/settings/common/settings';
 import { ExitCode } from '../common/exitCode';
 import type { ICommand, ICommandOutput } from './command';
-import { writeAnswer } from './command';
+import { writeResult } from './command';
 import { readTextFile } from './textFile';
 
-/** Programs whose settings can be checked. */
+/** The programs whose settings can be checked. */
 export enum SettingsProgram {
 	Entry = 'entry',
 }
@@ -31,7 +31,7 @@
 		private readonly options: CheckSettingsOptions,
 	) {}
 
-	/** Not right where the file has faults; bad usage where it cannot be read. */
+	/** Returns `Failure` if the settings have faults and `BadUsage` if the file cannot be read. */
 	run(): Promise<ExitCode> {
 		return Promise.resolve(this.check());
 	}
@@ -47,11 +47,11 @@
 			() => [],
 			found => found.map(formatSettingsFault),
 		);
-		writeAnswer(this.output, isJson, { file, program, isRight: faults.length === 0, faults }, () =>
+		writeResult(this.output, isJson, { file, program, isRight: faults.length === 0, faults }, () =>
 			faults.length === 0
 				? [`${file}: right for anvilroad-${program}`]
 				: faults.map(fault => `${file}: ${fault}`),
 		);
-		return faults.length === 0 ? ExitCode.Fine : ExitCode.NotRight;
+		return faults.length === 0 ? ExitCode.Success : ExitCode.Failure;
 	}
 }
--- a/src/ctl/node/command.ts
+++ b/src/ctl/node/command.ts
@@ -1,37 +1,37 @@
 /**
- * What the commands of `anvilroadctl` share.
+ * Types and output functions that the commands of `anvilroadctl` share.
  */
 
 import type { ExitCode } from '../common/exitCode';
-import { formatText } from '../common/formatting';
-import type { ClientFault } from './operatorsClient';
+import { formatForTerminal } from '../common/formatting';
+import type { ClientError } from './operatorsClient';
 
-/** One run of one command. */
+/** A command with its parsed options. */
 export interface ICommand {
 	run(): Promise<ExitCode>;
 }
 
-/** Where a command writes: answers to one stream, complaints to the other, so that pipes get answers only. */
+/** The output streams of a command. Errors have a stream of their own, so that a pipe receives results only. */
 export interface ICommandOutput {
 	write(line: string): void;
 	writeError(line: string): void;
 }
 
-/** Options of every command. */
+/** Options of every command that queries entries. */
 export interface CommonOptions {
-	/** Base URLs of operators' ports. */
+	/** Base URLs of the operators' ports of the entries to query. */
 	readonly entries: readonly string[];
-	/** Whether answers are JSON, one document a line. */
+	/** Whether results are printed as JSON, one document per line. */
 	readonly isJson: boolean;
 }
 
-/** One line for an entry that gave no answer. */
-export function renderClientFault(entry: string, fault: ClientFault): string {
-	return formatText(`${entry}: ${fault.kind}: ${fault.detail}`);
+/** Renders one line for an entry that returned no usable answer. */
+export function renderClientError(entry: string, fault: ClientError): string {
+	return formatForTerminal(`${entry}: ${fault.kind}: ${fault.detail}`);
 }
 
-/** Writes the lines of a person's output, or one line of JSON. */
-export function writeAnswer(
+/** Writes a result as one line of JSON or as the rendered lines. */
+export function writeResult(
 	output: ICommandOutput,
 	isJson: boolean,
 	json: unknown,
--- a/src/ctl/node/explainCommand.ts
+++ b/src/ctl/node/explainCommand.ts
@@ -1,15 +1,16 @@
 /**
- * `anvilroadctl explain`: what became of one request. All entries given are asked, since a request that was
- * carried to another entry has a record at both; that the others do not keep it is told only if none does.
+ * `anvilroadctl explain`: shows the decisions made on one request. All given entries are queried, because a
+ * request that was forwarded has a record at both entries. Entries without a record are reported only if no entry
+ * has one.
  */
 
 import type { ExplainAnswer } from '../../core/status/common/operatorsAnswers';
 import { ExitCode } from '../common/exitCode';
 import { renderExplain } from '../common/renderExplain';
 import type { CommonOptions, ICommand, ICommandOutput } from './command';
-import { renderClientFault, writeAnswer } from './command';
-import type { Fetched, OperatorsClient } from './operatorsClient';
-import { ClientFaultKind } from './operatorsClient';
+import { renderClientError, writeResult } from './command';
+import type { FetchedAnswer, OperatorsClient } from './operatorsClient';
+import { ClientErrorKind } from './operatorsClient';
 
 export interface ExplainOptions extends CommonOptions {
 	readonly requestId: string;
@@ -22,27 +23,27 @@
 		private readonly options: ExplainOptions,
 	) {}
 
-	/** Not right where no asked entry keeps the request. */
+	/** Returns `Failure` if no queried entry has a record of the request. */
 	async run(): Promise<ExitCode> {
 		const { entries, requestId, isJson } = this.options;
 		const fetched = await Promise.all(
-			entries.map(async entry => ({ entry, result: await this.client.fetchRecord(entry, requestId) })),
+			entries.map(async entry => ({ entry, result: await this.client.fetchRequestRecord(entry, requestId) })),
 		);
 		const found = fetched.flatMap(({ result }) => (result.isOk() ? [result.value] : []));
 		for (const { entry, result } of fetched) {
-			if (result.isErr() && (found.length === 0 || result.error.kind !== ClientFaultKind.NotThere)) {
-				this.output.writeError(renderClientFault(entry, result.error));
+			if (result.isErr() && (found.length === 0 || result.error.kind !== ClientErrorKind.NotFound)) {
+				this.output.writeError(renderClientError(entry, result.error));
 			}
 		}
 		for (const [index, { value, raw }] of sortByArrival(found).entries()) {
 			const separator = index > 0 ? [''] : [];
-			writeAnswer(this.output, isJson, raw, () => [...separator, ...renderExplain(value)]);
+			writeResult(this.output, isJson, raw, () => [...separator, ...renderExplain(value)]);
 		}
-		return found.length > 0 ? ExitCode.Fine : ExitCode.NotRight;
+		return found.length > 0 ? ExitCode.Success : ExitCode.Failure;
 	}
 }
 
-/** The entry that took the request in before those that it was carried to. */
-function sortByArrival(records: readonly Fetched<ExplainAnswer>[]): Fetched<ExplainAnswer>[] {
+/** Sorts by arrival time, so that the entry that received the request comes before those it was forwarded to. */
+function sortByArrival(records: readonly FetchedAnswer<ExplainAnswer>[]): FetchedAnswer<ExplainAnswer>[] {
 	return [...records].sort((left, right) => left.value.at.localeCompare(right.value.at));
 }
--- a/src/ctl/node/operatorsClient.ts
+++ b/src/ctl/node/operatorsClient.ts
@@ -1,6 +1,7 @@
 /**
- * Reads the operators' ports of entries. Each read is bounded in time and size: an entry that is frozen
- * still accepts connections, and a command that waits for it would hang just when somebody is on call.
+ * HTTP client for the operators' port of entries, which serves status, request records, the audit trail and the
+ * manifest. Each read is limited in time and size, because the system still accepts connections for a frozen entry
+ * process, and a command that waits for an answer would hang during an incident.
  */
 
 import type { Result } from 'neverthrow';
@@ -20,59 +21,59 @@
 	trailAnswerSchema,
 } from '../../core/status/common/operatorsAnswers';
 
-export enum ClientFaultKind {
+export enum ClientErrorKind {
 	Unreachable = 'unreachable',
 	TimedOut = 'timed-out',
-	/** The entry answered that it does not have what was asked for. */
-	NotThere = 'not-there',
-	/** The answer is not one of an operators' port. */
+	/** The entry answered that it has no such record or no manifest. */
+	NotFound = 'not-there',
+	/** The answer does not match the schema, or is another error of the operators' port. */
 	Malformed = 'malformed',
 }
 
-/** Why an entry gave no usable answer. */
-export interface ClientFault {
-	readonly kind: ClientFaultKind;
+/** The reason for which an entry returned no usable answer. */
+export interface ClientError {
+	readonly kind: ClientErrorKind;
 	readonly detail: string;
 }
 
-/** An answer as it was sent and as this program understands it. */
-export interface Fetched<TValue> {
+/** An answer as parsed by its schema and as received. */
+export interface FetchedAnswer<TValue> {
 	readonly value: TValue;
 	readonly raw: unknown;
 }
 
-export type FetchResult<TValue> = Result<Fetched<TValue>, ClientFault>;
+export type FetchResult<TValue> = Result<FetchedAnswer<TValue>, ClientError>;
 
-/** Above a manifest of a megabyte and the longest trail. */
-const mostAnswerBytes = 16 * 1_048_576;
+/** Larger than a manifest of one megabyte and than the longest audit trail. */
+const maxAnswerBytes = 16 * 1_048_576;
 
-const absentFaults: readonly OperatorsFault[] = [OperatorsFault.RequestNotKept, OperatorsFault.NoManifest];
+const notFoundFaults: readonly OperatorsFault[] = [OperatorsFault.RequestNotKept, OperatorsFault.NoManifest];
 
 interface RawAnswer {
 	readonly status: number;
 	readonly body: unknown;
 }
 
-function createFault(kind: ClientFaultKind, detail: string): ClientFault {
+function createError(kind: ClientErrorKind, detail: string): ClientError {
 	return { kind, detail };
 }
 
-/** Asks entries by the URL of their operators' port. */
+/** Queries entries by the URL of their operators' port. */
 export class OperatorsClient extends Disposable {
 	private readonly agent: Agent;
 
 	/**
-	 * @param timeoutMs The longest wait for one whole answer.
-	 * @param authorities PEM text of whose certificates to trust, in place of those that Node trusts.
+	 * @param timeoutMs Maximum wait for one complete answer.
+	 * @param authoritiesPem PEM text of the certificate authorities to trust instead of those that Node trusts.
 	 */
 	constructor(
 		private readonly timerService: ITimerService,
 		private readonly timeoutMs: number,
-		authorities?: string,
+		authoritiesPem?: string,
 	) {
 		super();
-		const trust = authorities === undefined ? {} : { connect: { ca: authorities } };
-		this.agent = new Agent({ maxResponseSize: mostAnswerBytes, ...trust });
+		const tlsOptions = authoritiesPem === undefined ? {} : { connect: { ca: authoritiesPem } };
+		this.agent = new Agent({ maxResponseSize: maxAnswerBytes, ...tlsOptions });
 		this.register(
 			toDisposable(() => {
 				void this.agent.destroy();
@@ -84,13 +85,13 @@
 		return this.fetchAnswer(entry, '/v1/status', entryStatusSchema);
 	}
 
-	fetchRecord(entry: string, requestId: string): Promise<FetchResult<ExplainAnswer>> {
+	fetchRequestRecord(entry: string, requestId: string): Promise<FetchResult<ExplainAnswer>> {
 		return this.fetchAnswer(entry, `/v1/explain/${encodeURIComponent(requestId)}`, explainAnswerSchema);
 	}
 
-	/** @param after Leaves out records up to this sequence. */
-	fetchTrail(entry: string, most: number, after: number): Promise<FetchResult<TrailAnswer>> {
-		return this.fetchAnswer(entry, `/v1/trail?most=${most}&after=${after}`, trailAnswerSchema);
+	/** @param afterSequence Only records with a higher sequence number are returned. */
+	fetchTrail(entry: string, maxRecords: number, afterSequence: number): Promise<FetchResult<TrailAnswer>> {
+		return this.fetchAnswer(entry, `/v1/trail?most=${maxRecords}&after=${afterSequence}`, trailAnswerSchema);
 	}
 
 	fetchManifest(entry: string): Promise<FetchResult<ManifestAnswer>> {
@@ -109,18 +110,23 @@
 		const { status, body } = fetched.value;
 		const fault = faultAnswerSchema.safeParse(body);
 		if (fault.success) {
-			const isAbsent = absentFaults.includes(fault.data.error);
+			const isNotFound = notFoundFaults.includes(fault.data.error);
 			return err(
-				createFault(isAbsent ? ClientFaultKind.NotThere : ClientFaultKind.Malformed, fault.data.message),
+				createError(isNotFound ? ClientErrorKind.NotFound : ClientErrorKind.Malformed, fault.data.message),
 			);
 		}
 		const parsed = schema.safeParse(body);
 		return parsed.success
 			? ok({ value: parsed.data, raw: body })
-			: err(createFault(ClientFaultKind.Malformed, `status ${status}, not the answer of an operators' port`));
+			: err(
+					createError(
+						ClientErrorKind.Malformed,
+						`status ${status}, and the body is not an answer of an operators' port`,
+					),
+				);
 	}
 
-	private async fetchRaw(url: string): Promise<Result<RawAnswer, ClientFault>> {
+	private async fetchRaw(url: string): Promise<Result<RawAnswer, ClientError>> {
 		const abort = new AbortController();
 		const timeout = this.timerService.schedule(this.timeoutMs, () => {
 			abort.abort();
@@ -135,15 +141,15 @@
 		}
 	}
 
-	private describeFailure(error: unknown, hasTimedOut: boolean): ClientFault {
+	private describeFailure(error: unknown, hasTimedOut: boolean): ClientError {
 		if (hasTimedOut) {
-			return createFault(ClientFaultKind.TimedOut, `no whole answer within ${this.timeoutMs} ms`);
+			return createError(ClientErrorKind.TimedOut, `no complete answer within ${this.timeoutMs} ms`);
 		}
-		return createFault(ClientFaultKind.Unreachable, error instanceof Error ? error.message : String(error));
+		return createError(ClientErrorKind.Unreachable, error instanceof Error ? error.message : String(error));
 	}
 }
 
-/** A text that is not JSON is no answer of an operators' port, which the schema then says. */
+/** Returns undefined for text that is not JSON. The schema check then rejects the answer as malformed. */
 function parseJson(text: string): unknown {
 	try {
 		return JSON.parse(text);
--- a/src/ctl/node/program.ts
+++ b/src/ctl/node/program.ts
@@ -1,6 +1,6 @@
 /**
- * The command line of `anvilroadctl`: options, help and which command runs. yargs is an ECMAScript module
- * and therefore loaded when the program starts rather than required.
+ * Parses the command line of `anvilroadctl` and runs the chosen command. yargs is an ECMAScript module and cannot
+ * be loaded by `require`, so a dynamic import loads it when the program runs.
  */
 
 import type { Argv } from 'yargs';
@@ -16,26 +16,26 @@
 import { readTextFile } from './textFile';
 import { TrailCommand } from './trailCommand';
 
-/** What the program needs of the process that it runs in. */
+/** The parts of the process environment that the program uses. */
 export interface ProgramHost {
 	readonly timerService: ITimerService;
 	readonly output: ICommandOutput;
-	/** The environment; `ANVILROAD_ENTRY` is read. */
+	/** Environment variables, of which `ANVILROAD_ENTRY` is read. */
 	readonly environment: Readonly<Record<string, string | undefined>>;
 	readonly version: string;
-	/** Aborted at SIGINT. */
-	readonly stop: AbortSignal;
+	/** Aborted on SIGINT. */
+	readonly stopSignal: AbortSignal;
 }
 
 const defaultTimeoutMs = 3_000;
-const mostTimeoutMs = 600_000;
+const maxTimeoutMs = 600_000;
 const defaultTrailRecords = 50;
-const mostTrailRecords = 10_000;
+const maxTrailRecords = 10_000;
 
-/** A command line that cannot be run; its message is for the person who wrote it. */
+/** An invalid command line. The message is shown to the user. */
 class UsageError extends Error {}
 
-/** Options of the client, as yargs names them in camel case. */
+/** Options of the client, under the camel-case names that yargs adds. */
 interface ClientArguments {
 	readonly timeoutMs: number;
 	readonly caFile: string | undefined;
@@ -48,11 +48,11 @@
 	readonly 'ca-file': string | undefined;
 }
 
-/** Runs one command line. */
+/** Parses command lines and runs their commands. */
 export class Program {
 	constructor(private readonly host: ProgramHost) {}
 
-	/** Parses, runs the command and gives the exit code; never throws for a fault of the command line. */
+	/** Returns the exit code. An invalid command line is reported and does not throw. */
 	async run(args: readonly string[]): Promise<ExitCode> {
 		try {
 			return await this.runCommand(args);
@@ -68,7 +68,7 @@
 
 	private async runCommand(args: readonly string[]): Promise<ExitCode> {
 		const { default: createParser } = await import('yargs');
-		let exitCode = ExitCode.Fine;
+		let exitCode = ExitCode.Success;
 		const parser = this.addCommands(this.addCommonOptions(createParser([])), async (common, create) => {
 			exitCode = await this.runWithClient(common, create);
 		});
@@ -86,8 +86,8 @@
 		{ timeoutMs, caFile }: ClientArguments,
 		create: (client: OperatorsClient) => ICommand,
 	): Promise<ExitCode> {
-		const longestMs = checkCount('--timeout-ms', timeoutMs, mostTimeoutMs);
-		const client = new OperatorsClient(this.host.timerService, longestMs, readAuthorities(caFile));
+		const checkedTimeoutMs = checkCount('--timeout-ms', timeoutMs, maxTimeoutMs);
+		const client = new OperatorsClient(this.host.timerService, checkedTimeoutMs, readCaFile(caFile));
 		try {
 			return await create(client).run();
 		} finally {
@@ -106,23 +106,23 @@
 				requiresArg: true,
 				describe: "URL of an entry's operators' port; repeatable [ANVILROAD_ENTRY, separated by commas]",
 			})
-			.option('json', { type: 'boolean', default: false, describe: 'Print JSON, one document a line' })
+			.option('json', { type: 'boolean', default: false, describe: 'Print JSON, one document per line' })
 			.option('timeout-ms', {
 				type: 'number',
 				default: defaultTimeoutMs,
-				describe: 'Longest wait for one answer',
+				describe: 'Maximum wait for one answer, in milliseconds',
 			})
 			.option('ca-file', {
 				type: 'string',
 				requiresArg: true,
-				describe: 'PEM file of the authorities to trust for https entries',
+				describe: 'PEM file of the certificate authorities to trust for https entries',
 			})
 			.version(this.host.version)
 			.help()
 			.strict()
 			.demandCommand(1, 'name a command')
 			.recommendCommands()
-			.epilogue('Exit codes: 0 fine; 1 not right or not reachable; 2 bad usage.')
+			.epilogue('Exit codes: 0 success; 1 check failed, or entry not ready or not reachable; 2 bad usage.')
 			.exitProcess(false)
 			.fail((message: string | null, error: Error | undefined) => {
 				throw error instanceof UsageError ? error : new UsageError(message ?? String(error));
@@ -130,59 +130,70 @@
 	}
 
 	private addCommands(parser: Argv<CommonArguments>, run: RunCommand): Argv<CommonArguments> {
-		const { output, timerService, stop } = this.host;
+		const { output, timerService, stopSignal: stop } = this.host;
 		return parser
 			.command(
 				'status',
 				"An entry's view of itself, its targets and its peers",
 				command =>
-					command.option('all', { type: 'boolean', default: false, describe: 'Show long tables whole' }),
+					command.option('all', {
+						type: 'boolean',
+						default: false,
+						describe: 'Show all rows of long tables',
+					}),
 				args =>
 					run(args, client => {
-						return new StatusCommand(client, output, { ...this.readCommon(args), isWhole: args.all });
+						return new StatusCommand(client, output, {
+							...this.readCommonOptions(args),
+							hasAllRows: args.all,
+						});
 					}),
 			)
 			.command(
 				'entries',
-				'The fleet, a line for each entry',
+				'The fleet, one line for each entry',
 				command => command,
-				args => run(args, client => new EntriesCommand(client, output, this.readCommon(args))),
+				args => run(args, client => new EntriesCommand(client, output, this.readCommonOptions(args))),
 			)
 			.command(
 				'explain <request-id>',
-				'What became of a request, step by step',
+				'The decisions made on a request, step by step',
 				command => command.positional('request-id', { type: 'string', demandOption: true }),
 				args =>
 					run(args, client => {
-						const options = { ...this.readCommon(args), requestId: args.requestId };
+						const options = { ...this.readCommonOptions(args), requestId: args.requestId };
 						return new ExplainCommand(client, output, options);
 					}),
 			)
 			.command(
 				'trail',
-				'The audit trail of changes',
+				'The audit trail of state changes',
 				command =>
 					command
 						.option('most', {
 							type: 'number',
 							default: defaultTrailRecords,
-							describe: 'Newest records shown',
+							describe: 'Number of newest records to show',
 						})
-						.option('follow', { type: 'boolean', default: false, describe: 'Go on until interrupted' }),
+						.option('follow', {
+							type: 'boolean',
+							default: false,
+							describe: 'Print new records until interrupted',
+						}),
 				args =>
 					run(args, client => {
 						const options = {
-							...this.readCommon(args),
-							most: checkCount('--most', args.most, mostTrailRecords),
+							...this.readCommonOptions(args),
+							maxRecords: checkCount('--most', args.most, maxTrailRecords),
 							isFollowing: args.follow,
 						};
 						return new TrailCommand(client, timerService, output, options, stop);
 					}),
 			)
-			.command('check', 'Check a manifest or settings', command => this.addChecks(command, run));
+			.command('check', 'Check a manifest or settings', command => this.addCheckCommands(command, run));
 	}
 
-	private addChecks(parser: Argv<CommonArguments>, run: RunCommand): Argv<CommonArguments> {
+	private addCheckCommands(parser: Argv<CommonArguments>, run: RunCommand): Argv<CommonArguments> {
 		const { output } = this.host;
 		return parser
 			.demandCommand(1, 'name what to check: manifest or settings')
@@ -193,7 +204,7 @@
 					command.positional('file', { type: 'string', demandOption: true }).option('against', {
 						type: 'string',
 						requiresArg: true,
-						describe: "Show the changes against a file or an operators' port's URL",
+						describe: "Show the changes from a file or from the entry at an operators' port URL",
 					}),
 				args =>
 					run(args, client => {
@@ -218,26 +229,26 @@
 			);
 	}
 
-	private readCommon(args: CommonArguments): CommonOptions {
+	private readCommonOptions(args: CommonArguments): CommonOptions {
 		const fromEnvironment = (this.host.environment.ANVILROAD_ENTRY ?? '').split(',');
-		const named = (args.entry ?? fromEnvironment).map(entry => entry.trim()).filter(entry => entry !== '');
-		if (named.length === 0) {
+		const given = (args.entry ?? fromEnvironment).map(entry => entry.trim()).filter(entry => entry !== '');
+		if (given.length === 0) {
 			throw new UsageError("name an entry's operators' port with --entry URL or ANVILROAD_ENTRY");
 		}
-		return { entries: [...new Set(named.map(checkEntryUrl))], isJson: args.json };
+		return { entries: [...new Set(given.map(checkEntryUrl))], isJson: args.json };
 	}
 }
 
 type RunCommand = (common: ClientArguments, create: (client: OperatorsClient) => ICommand) => Promise<void>;
 
-function checkCount(option: string, value: number, most: number): number {
-	if (!Number.isInteger(value) || value < 1 || value > most) {
-		throw new UsageError(`${option} is a whole number from 1 to ${most}`);
+function checkCount(option: string, value: number, max: number): number {
+	if (!Number.isInteger(value) || value < 1 || value > max) {
+		throw new UsageError(`${option} is a whole number from 1 to ${max}`);
 	}
 	return value;
 }
 
-function readAuthorities(file: string | undefined): string | undefined {
+function readCaFile(file: string | undefined): string | undefined {
 	if (file === undefined) {
 		return undefined;
 	}
--- a/src/ctl/node/statusCommand.ts
+++ b/src/ctl/node/statusCommand.ts
@@ -1,16 +1,16 @@
 /**
- * `anvilroadctl status`: what each asked entry says of itself.
+ * `anvilroadctl status`: shows the status of each queried entry.
  */
 
 import { ExitCode } from '../common/exitCode';
 import { renderStatus } from '../common/renderStatus';
 import type { CommonOptions, ICommand, ICommandOutput } from './command';
-import { renderClientFault, writeAnswer } from './command';
+import { renderClientError, writeResult } from './command';
 import type { OperatorsClient } from './operatorsClient';
 
 export interface StatusOptions extends CommonOptions {
-	/** Whether long tables are shown whole. */
-	readonly isWhole: boolean;
+	/** Whether tables show all rows. */
+	readonly hasAllRows: boolean;
 }
 
 export class StatusCommand implements ICommand {
@@ -20,22 +20,23 @@
 		private readonly options: StatusOptions,
 	) {}
 
-	/** Not right where an entry cannot be reached or is not ready. */
+	/** Returns `Failure` if an entry is unreachable or not ready. */
 	async run(): Promise<ExitCode> {
 		const { entries } = this.options;
-		const areRight = await Promise.all(entries.map(entry => this.runFor(entry)));
-		return areRight.every(isRight => isRight) ? ExitCode.Fine : ExitCode.NotRight;
+		const areReady = await Promise.all(entries.map(entry => this.printStatus(entry)));
+		return areReady.every(isRight => isRight) ? ExitCode.Success : ExitCode.Failure;
 	}
 
-	private async runFor(entry: string): Promise<boolean> {
+	/** Returns whether the entry is reachable and ready. */
+	private async printStatus(entry: string): Promise<boolean> {
 		const fetched = await this.client.fetchStatus(entry);
 		if (fetched.isErr()) {
-			this.output.writeError(renderClientFault(entry, fetched.error));
+			this.output.writeError(renderClientError(entry, fetched.error));
 			return false;
 		}
 		const { value, raw } = fetched.value;
-		writeAnswer(this.output, this.options.isJson, { entry, status: raw }, () => [
-			...renderStatus(value, this.options.isWhole),
+		writeResult(this.output, this.options.isJson, { entry, status: raw }, () => [
+			...renderStatus(value, this.options.hasAllRows),
 			...(this.options.entries.length > 1 ? [''] : []),
 		]);
 		return value.readiness.isReady;
--- a/src/ctl/node/textFile.ts
+++ b/src/ctl/node/textFile.ts
@@ -1,5 +1,5 @@
 /**
- * Reads the files that commands are given.
+ * Reads the text files named on the command line.
  */
 
 import { readFileSync } from 'node:fs';
@@ -9,7 +9,7 @@
 const standardInput = '-';
 const standardInputDescriptor = 0;
 
-/** The text of a file, `-` for standard input, or a line that says why it cannot be read. */
+/** Returns the text of a file, or an error message. The name `-` reads standard input. */
 export function readTextFile(file: string): Result<string, string> {
 	try {
 		return ok(readFileSync(file === standardInput ? standardInputDescriptor : file, 'utf8'));
--- a/src/ctl/test/commands.test.ts
+++ b/src/ctl/test/commands.test.ts
@@ -26,8 +26,8 @@
 import type { TrailOptions } from '../node/trailCommand';
 import { TrailCommand } from '../node/trailCommand';
 
-/** A command's output, options and clock. */
-class Trial implements ICommandOutput {
+/** Records the output of a command and provides its client and clock. */
+class CommandHarness implements ICommandOutput {
 	readonly lines: string[] = [];
 	readonly errors: string[] = [];
 	readonly timerService = new ManualTimerService();
@@ -54,10 +54,10 @@
 
 let owned = new DisposableStore();
 
-function createTrial(): Trial {
-	const trial = new Trial();
-	owned.add(trial.client);
-	return trial;
+function createHarness(): CommandHarness {
+	const harness = new CommandHarness();
+	owned.add(harness.client);
+	return harness;
 }
 
 beforeEach(() => {
@@ -95,161 +95,161 @@
 }
 
 function createTrailCommand(
-	trial: Trial,
+	harness: CommandHarness,
 	options: Partial<TrailOptions>,
 	stop = new AbortController().signal,
 ): TrailCommand {
-	const whole = { entries: [], isJson: true, most: 100, isFollowing: false, ...options };
-	return new TrailCommand(trial.client, trial.timerService, trial, whole, stop);
+	const complete = { entries: [], isJson: true, maxRecords: 100, isFollowing: false, ...options };
+	return new TrailCommand(harness.client, harness.timerService, harness, complete, stop);
 }
 
-function createManifestCheck(trial: Trial, file: string, against?: string): CheckManifestCommand {
-	return new CheckManifestCommand(trial.client, trial, { file, against, isJson: false });
+function createManifestCheck(harness: CommandHarness, file: string, against?: string): CheckManifestCommand {
+	return new CheckManifestCommand(harness.client, harness, { file, against, isJson: false });
 }
 
-const nowhere = 'http://127.0.0.1:1';
+const unreachableUrl = 'http://127.0.0.1:1';
 
 describe('status and entries', () => {
-	it('shows what can be reached and fails for what cannot', async () => {
-		const trial = createTrial();
+	it('shows reachable entries and fails for unreachable ones', async () => {
+		const harness = createHarness();
 		const url = await startEntry();
-		const options = { entries: [url, nowhere], isJson: true, isWhole: false };
-		expect(await new StatusCommand(trial.client, trial, options).run()).toBe(ExitCode.NotRight);
-		expect(JSON.parse(trial.lines[0] ?? '')).toEqual({ entry: url, status: createStatus() });
-		expect(trial.errors[0]).toMatch(/^http:\/\/127.0.0.1:1: unreachable: /);
+		const options = { entries: [url, unreachableUrl], isJson: true, hasAllRows: false };
+		expect(await new StatusCommand(harness.client, harness, options).run()).toBe(ExitCode.Failure);
+		expect(JSON.parse(harness.lines[0] ?? '')).toEqual({ entry: url, status: createStatus() });
+		expect(harness.errors[0]).toMatch(/^http:\/\/127.0.0.1:1: unreachable: /);
 	});
 
-	// The process of an entry is frozen: the system still accepts connections for it, and nothing is ever
-	// answered. The command must end by itself and say so, not hang in the hands of the person on call.
+	// Guards against a command that hangs during an incident: the system still accepts connections for a frozen
+	// entry process, but no answer ever arrives.
 	it('ends with a timeout where an entry accepts connections and never answers', async () => {
-		const trial = createTrial();
+		const harness = createHarness();
 		const frozen = createServer().listen(0, '127.0.0.1');
 		await once(frozen, 'listening');
 		const accepted = once(frozen, 'connection');
 		const { port } = frozen.address() as AddressInfo;
 		const options = { entries: [`http://127.0.0.1:${port}`], isJson: false };
-		const running = new EntriesCommand(trial.client, trial, options).run();
+		const running = new EntriesCommand(harness.client, harness, options).run();
 		await accepted;
-		trial.timerService.advance(3_000);
-		expect(await running).toBe(ExitCode.NotRight);
-		expect(trial.errors[0]).toContain('timed-out: no whole answer within 3000 ms');
+		harness.timerService.advance(3_000);
+		expect(await running).toBe(ExitCode.Failure);
+		expect(harness.errors[0]).toContain('timed-out: no complete answer within 3000 ms');
 		frozen.close();
 	});
 
 	it('fails for an entry that is not ready', async () => {
 		const readiness = { isReady: false, reasons: ['no manifest yet'] };
-		const trial = createTrial();
+		const harness = createHarness();
 		const url = await startEntry({ getStatus: () => createStatus({ readiness, manifest: null }) });
 		const options = { entries: [url], isJson: false };
-		expect(await new EntriesCommand(trial.client, trial, options).run()).toBe(ExitCode.NotRight);
-		expect(trial.lines[1]).toMatch(/entry-kingston-1 .* not ready/);
+		expect(await new EntriesCommand(harness.client, harness, options).run()).toBe(ExitCode.Failure);
+		expect(harness.lines[1]).toMatch(/entry-kingston-1 .* not ready/);
 	});
 });
 
 describe('an entry with certificates', () => {
-	it('is read by whoever trusts its authority, and by nobody else', async () => {
+	it('is readable only for clients that trust its certificate authority', async () => {
 		const folder = owned.add(new CertificateFolder(FixtureName.First));
 		const server = owned.add(new OperatorsServer(createSource(), createMetricsPage(), openStore(folder)));
 		const { host, port } = await server.start({ host: '127.0.0.1', port: 0 });
-		const options = { entries: [`https://${host}:${port}`], isJson: false, isWhole: false };
-		const trial = createTrial();
+		const options = { entries: [`https://${host}:${port}`], isJson: false, hasAllRows: false };
+		const harness = createHarness();
 		const authorities = readFileSync(folder.settings.authorities, 'utf8');
-		const trusting = owned.add(new OperatorsClient(trial.timerService, 3_000, authorities));
-		expect(await new StatusCommand(trusting, trial, options).run()).toBe(ExitCode.Fine);
-		expect(await new StatusCommand(trial.client, trial, options).run()).toBe(ExitCode.NotRight);
-		expect(trial.errors[0]).toContain('unreachable');
+		const trusting = owned.add(new OperatorsClient(harness.timerService, 3_000, authorities));
+		expect(await new StatusCommand(trusting, harness, options).run()).toBe(ExitCode.Success);
+		expect(await new StatusCommand(harness.client, harness, options).run()).toBe(ExitCode.Failure);
+		expect(harness.errors[0]).toContain('unreachable');
 	});
 });
 
 describe('explain', () => {
-	it('asks every entry and shows the one that keeps the request', async () => {
-		const trial = createTrial();
+	it('queries every entry and shows the one that has the request record', async () => {
+		const harness = createHarness();
 		const without = await startEntry({ findRecord: () => undefined });
 		const options = { entries: [without, await startEntry()], isJson: false, requestId: 'known' };
-		expect(await new ExplainCommand(trial.client, trial, options).run()).toBe(ExitCode.Fine);
-		expect(trial.lines.join('\n')).toMatch(/0\.0ms {2}received {2}POST \/visits/);
-		expect(trial.errors).toEqual([]);
+		expect(await new ExplainCommand(harness.client, harness, options).run()).toBe(ExitCode.Success);
+		expect(harness.lines.join('\n')).toMatch(/0\.0ms {2}received {2}POST \/visits/);
+		expect(harness.errors).toEqual([]);
 		const lost = { ...options, requestId: 'lost' };
-		expect(await new ExplainCommand(trial.client, trial, lost).run()).toBe(ExitCode.NotRight);
-		expect(trial.errors).toHaveLength(2);
-		expect(trial.errors[0]).toContain(`${without}: not-there: `);
+		expect(await new ExplainCommand(harness.client, harness, lost).run()).toBe(ExitCode.Failure);
+		expect(harness.errors).toHaveLength(2);
+		expect(harness.errors[0]).toContain(`${without}: not-there: `);
 	});
 });
 
 describe('trail', () => {
 	it('prints the newest records as JSON lines', async () => {
-		const trial = createTrial();
-		expect(await createTrailCommand(trial, { entries: [await startEntry()], most: 2 }).run()).toBe(
-			ExitCode.Fine,
+		const harness = createHarness();
+		expect(await createTrailCommand(harness, { entries: [await startEntry()], maxRecords: 2 }).run()).toBe(
+			ExitCode.Success,
 		);
-		const sequences = trial.lines.map(line => (JSON.parse(line) as { sequence: number }).sequence);
+		const sequences = harness.lines.map(line => (JSON.parse(line) as { sequence: number }).sequence);
 		expect(sequences).toEqual([2, 3]);
 	});
 
-	// An entry is replaced while its trail is followed, and its successor counts records from 1 again. A
-	// follower that went on asking for what comes after the old count would show nothing from then on.
-	it('follows an entry across its restart and shows no record twice', async () => {
+	// Guards against a follower that shows nothing after an entry restart: the restarted entry numbers its records
+	// from 1 again, so reads after the old sequence number would return no records.
+	it('follows an entry across a restart and shows no record twice', async () => {
 		let boot = 'first';
 		let sequences = [1, 2, 3];
 		const url = await startEntry({
 			getStatus: () => createStatus({ boot }),
-			listTrail: most => sequences.slice(-most).map(createRecord),
+			listTrail: maxRecords => sequences.slice(-maxRecords).map(createRecord),
 		});
-		const trial = createTrial();
+		const harness = createHarness();
 		const stop = new AbortController();
 		const following = { entries: [url], isFollowing: true };
-		const running = createTrailCommand(trial, following, stop.signal).run();
-		await trial.waitForLines(3);
+		const running = createTrailCommand(harness, following, stop.signal).run();
+		await harness.waitForLines(3);
 		sequences = [1, 2, 3, 4];
-		await advanceToLines(trial, 4);
+		await advanceUntilLines(harness, 4);
 		boot = 'second';
 		sequences = [1];
-		await advanceToLines(trial, 5);
+		await advanceUntilLines(harness, 5);
 		stop.abort();
-		expect(await running).toBe(ExitCode.Fine);
-		const shown = trial.lines.map(line => (JSON.parse(line) as { sequence: number }).sequence);
+		expect(await running).toBe(ExitCode.Success);
+		const shown = harness.lines.map(line => (JSON.parse(line) as { sequence: number }).sequence);
 		expect(shown).toEqual([1, 2, 3, 4, 1]);
-		expect(trial.errors).toEqual([`${url}: entry-kingston-1 was restarted`]);
+		expect(harness.errors).toEqual([`${url}: entry-kingston-1 was restarted`]);
 	});
 });
 
-/** Moves the clock by one period, once what the last read brought has been dealt with. */
-async function advanceToLines(trial: Trial, count: number): Promise<void> {
+/** Waits until the last read is processed, advances the clock by one read interval and waits for the output lines. */
+async function advanceUntilLines(harness: CommandHarness, count: number): Promise<void> {
 	await new Promise(resolve => setImmediate(resolve));
-	trial.timerService.advance(1_000);
-	await trial.waitForLines(count);
+	harness.timerService.advance(1_000);
+	await harness.waitForLines(count);
 }
 
 describe('check', () => {
-	it('names every fault of a manifest with its place', async () => {
-		const trial = createTrial();
+	it('reports every fault of a manifest with its path', async () => {
+		const harness = createHarness();
 		const file = writeFile(createManifestText('Book ings'));
-		expect(await createManifestCheck(trial, file).run()).toBe(ExitCode.NotRight);
-		expect(trial.lines[0]).toContain(`${file}: services[0].name: is not a name`);
+		expect(await createManifestCheck(harness, file).run()).toBe(ExitCode.Failure);
+		expect(harness.lines[0]).toContain(`${file}: services[0].name: is not a name`);
 	});
 
-	it('shows what a manifest would change against the one in force and against a file', async () => {
-		const trial = createTrial();
+	it('shows the changes from the manifest in force and from a file', async () => {
+		const harness = createHarness();
 		const text = createManifestText();
 		const url = await startEntry({ getManifest: () => ({ version: 12 as never, digest: 'd', text }) });
 		const file = writeFile(createManifestText('ledger'));
-		expect(await createManifestCheck(trial, file, url).run()).toBe(ExitCode.Fine);
-		expect(trial.lines[1]).toBe(`2 changes against manifest 12 in force at ${url}:`);
-		expect(trial.lines[2]).toBe('- services[bookings]');
-		expect(await createManifestCheck(trial, file, file).run()).toBe(ExitCode.Fine);
-		expect(trial.lines.at(-1)).toBe(`no change against ${file}`);
-		expect(await createManifestCheck(trial, file, nowhere).run()).toBe(ExitCode.NotRight);
+		expect(await createManifestCheck(harness, file, url).run()).toBe(ExitCode.Success);
+		expect(harness.lines[1]).toBe(`2 changes against manifest 12 in force at ${url}:`);
+		expect(harness.lines[2]).toBe('- services[bookings]');
+		expect(await createManifestCheck(harness, file, file).run()).toBe(ExitCode.Success);
+		expect(harness.lines.at(-1)).toBe(`no change against ${file}`);
+		expect(await createManifestCheck(harness, file, unreachableUrl).run()).toBe(ExitCode.Failure);
 	});
 
-	it('names every fault of a settings file', async () => {
-		const trial = createTrial();
+	it('reports every fault of a settings file', async () => {
+		const harness = createHarness();
 		const file = writeFile('[limits]\nmax_body_bytes = lots\n');
 		const options = { file, program: SettingsProgram.Entry, isJson: false };
-		expect(await new CheckSettingsCommand(trial, options).run()).toBe(ExitCode.NotRight);
+		expect(await new CheckSettingsCommand(harness, options).run()).toBe(ExitCode.Failure);
 		const fault = '[limits] max_body_bytes = lots: a whole number from 1 to 268435456';
-		expect(trial.lines).toContain(`${file}: ${fault}`);
+		expect(harness.lines).toContain(`${file}: ${fault}`);
 		const misnamed = { ...options, file: writeFile('[limitations]\nmax_body_bytes = 1\n') };
-		expect(await new CheckSettingsCommand(trial, misnamed).run()).toBe(ExitCode.NotRight);
-		expect(trial.lines).toContain(`${misnamed.file}: [limitations]: no such section`);
+		expect(await new CheckSettingsCommand(harness, misnamed).run()).toBe(ExitCode.Failure);
+		expect(harness.lines).toContain(`${misnamed.file}: [limitations]: no such section`);
 	});
 });
--- a/src/ctl/test/compiledSources.ts
+++ b/src/ctl/test/compiledSources.ts
@@ -1,6 +1,6 @@
 /**
- * Compiles the sources for tests that run a program as a process. yargs is an ECMAScript module, which
- * jest's own loader cannot take; a process of its own loads it as an operator's shell would.
+ * Compiles the sources for tests that run a program as a separate process. The module loader of jest cannot load
+ * yargs, which is an ECMAScript module, while a Node process can.
  */
 
 import { transformFileSync } from '@swc/core';
@@ -15,7 +15,10 @@
 	swcrc: false,
 } as const;
 
-/** Compiles all sources of the given folders below `src`, and the platform's adapter; gives the folder that they came to. */
+/**
+ * Compiles all sources of the given folders below `src` and of the `platform` folder, and returns the output
+ * folder.
+ */
 export function buildSources(folders: readonly string[]): string {
 	mkdirSync(cache, { recursive: true });
 	const output = mkdtempSync(join(cache, 'anvilroad-test-'));
--- a/src/ctl/test/program.test.ts
+++ b/src/ctl/test/program.test.ts
@@ -6,13 +6,13 @@
 import { ExitCode } from '../common/exitCode';
 import { buildSources } from './compiledSources';
 
-interface ProgramEnd {
+interface ProgramResult {
 	readonly code: unknown;
-	readonly answers: string;
-	readonly complaints: string;
+	readonly stdout: string;
+	readonly stderr: string;
 }
 
-const nowhere = 'http://127.0.0.1:1';
+const unreachableUrl = 'http://127.0.0.1:1';
 let folder = '';
 
 beforeAll(() => {
@@ -23,11 +23,14 @@
 	rmSync(folder, { recursive: true });
 });
 
-function runProgram(args: readonly string[], environment: Record<string, string> = {}): Promise<ProgramEnd> {
+function runProgram(
+	args: readonly string[],
+	environment: Record<string, string> = {},
+): Promise<ProgramResult> {
 	return new Promise(resolve => {
 		const program = join(folder, 'src/bin/ctl.js');
-		execFile(process.execPath, [program, ...args], { env: environment }, (error, answers, complaints) => {
-			resolve({ code: error === null ? ExitCode.Fine : error.code, answers, complaints });
+		execFile(process.execPath, [program, ...args], { env: environment }, (error, stdout, stderr) => {
+			resolve({ code: error === null ? ExitCode.Success : error.code, stdout, stderr });
 		});
 	});
 }
@@ -37,39 +40,39 @@
 		[['statsu'], 'Did you mean status?'],
 		[['status'], "name an entry's operators' port"],
 		[['status', '--entry', 'entry-1'], 'is not a URL'],
-		[['status', '--entry', nowhere, '--bogus'], 'Unknown argument: bogus'],
-		[['status', '--entry', nowhere, '--timeout-ms', 'soon'], '--timeout-ms is a whole number'],
-		[['status', '--entry', nowhere, '--ca-file', 'no-such-file'], '--ca-file no-such-file: '],
-		[['trail', '--entry', nowhere, '--most', '0'], '--most is a whole number'],
+		[['status', '--entry', unreachableUrl, '--bogus'], 'Unknown argument: bogus'],
+		[['status', '--entry', unreachableUrl, '--timeout-ms', 'soon'], '--timeout-ms is a whole number'],
+		[['status', '--entry', unreachableUrl, '--ca-file', 'no-such-file'], '--ca-file no-such-file: '],
+		[['trail', '--entry', unreachableUrl, '--most', '0'], '--most is a whole number'],
 		[['check'], 'name what to check'],
 		[['check', 'manifest', 'no-such-file'], 'no such file'],
-	])('refuses %j with exit code 2 and says why', async (args, problem) => {
-		const end = await runProgram(args);
-		expect(end).toMatchObject({ code: ExitCode.BadUsage, answers: '' });
-		expect(end.complaints).toContain(problem);
+	])('rejects %j with exit code 2 and an error message', async (args, problem) => {
+		const result = await runProgram(args);
+		expect(result).toMatchObject({ code: ExitCode.BadUsage, stdout: '' });
+		expect(result.stderr).toContain(problem);
 	});
 
-	it('prints help and its version', async () => {
+	it('prints its help and version', async () => {
 		const [help, version] = await Promise.all([runProgram(['--help']), runProgram(['--version'])]);
-		expect(help).toMatchObject({ code: ExitCode.Fine, complaints: '' });
-		expect(help.answers).toContain('anvilroadctl explain <request-id>');
-		expect(version.code).toBe(ExitCode.Fine);
-		expect(version.answers).toMatch(/^\d+\.\d+\.\d+\n$/);
+		expect(help).toMatchObject({ code: ExitCode.Success, stderr: '' });
+		expect(help.stdout).toContain('anvilroadctl explain <request-id>');
+		expect(version.code).toBe(ExitCode.Success);
+		expect(version.stdout).toMatch(/^\d+\.\d+\.\d+\n$/);
 	});
 
-	it('takes entries from the environment and from repeated options', async () => {
+	it('reads entries from the environment and from repeated options', async () => {
 		const server = new OperatorsServer(createSource(), createMetricsPage());
 		const { host, port } = await server.start({ host: '127.0.0.1', port: 0 });
 		const url = `http://${host}:${port}`;
 		const [fine, partly] = await Promise.all([
 			runProgram(['status'], { ANVILROAD_ENTRY: `${url}/, ` }),
-			runProgram(['status', '--entry', url, '--entry', nowhere]),
+			runProgram(['status', '--entry', url, '--entry', unreachableUrl]),
 		]);
 		server.dispose();
-		expect(fine).toMatchObject({ code: ExitCode.Fine, complaints: '' });
-		expect(fine.answers).toContain('entry-kingston-1  kingston/kingston-a');
-		expect(partly.code).toBe(ExitCode.NotRight);
-		expect(partly.answers).toContain('entry-kingston-1  kingston/kingston-a');
-		expect(partly.complaints).toContain(`${nowhere}: unreachable`);
+		expect(fine).toMatchObject({ code: ExitCode.Success, stderr: '' });
+		expect(fine.stdout).toContain('entry-kingston-1  kingston/kingston-a');
+		expect(partly.code).toBe(ExitCode.Failure);
+		expect(partly.stdout).toContain('entry-kingston-1  kingston/kingston-a');
+		expect(partly.stderr).toContain(`${unreachableUrl}: unreachable`);
 	});
 });
--- a/src/ctl/test/rendering.test.ts
+++ b/src/ctl/test/rendering.test.ts
@@ -4,11 +4,11 @@
 import { createRecord, createStatus } from '../../core/operators/test/operatorsFixtures';
 import type { PeerStatus, TargetStatus } from '../../core/status/common/entryStatus';
 import { createTrailRecord } from '../../core/status/common/operatorsAnswers';
-import { formatBytes, formatDuration, formatText } from '../common/formatting';
+import { formatBytes, formatDuration, formatForTerminal } from '../common/formatting';
 import { compareManifests, renderManifestChange } from '../common/manifestDiff';
 import { findManifestDifferences, renderEntries } from '../common/renderEntries';
-import { mostRows, renderStatus } from '../common/renderStatus';
-import { mergeTrails, renderTrailLine } from '../common/renderTrail';
+import { defaultMaxRows, renderStatus } from '../common/renderStatus';
+import { mergeTrails, renderTrailRecord } from '../common/renderTrail';
 import { renderTable } from '../common/table';
 
 function createTarget(id: string, state = 'serving'): TargetStatus {
@@ -46,16 +46,16 @@
 }
 
 describe('formatting', () => {
-	it('shows durations and bytes in the unit that fits', () => {
+	it('shows durations and bytes in a unit that fits the value', () => {
 		const shown = [null, 900, 3_200, 65_000, 7_800_000, 273_600_000].map(formatDuration);
 		expect(shown).toEqual(['-', '900ms', '3.2s', '1m 05s', '2h 10m', '3d 04h']);
 		expect([0, 1_536, 268_435_456].map(formatBytes)).toEqual(['0 B', '1.5 KiB', '256.0 MiB']);
 	});
 
-	// A caller sends a header with terminal escapes and the detail of its refusal quotes it. Printed as it
-	// is, it could clear the operator's screen or paint a line that no entry wrote.
-	test.prop([fc.string({ unit: 'binary' })], { seed: 6 })('lets no control character through', text => {
-		expect(formatText(text)).not.toMatch(/[\u0000-\u001f\u007f-\u009f]/);
+	// Guards against terminal escapes in the output: the detail of a refusal quotes headers of the caller, and an
+	// escape sequence there could clear the operator's screen or display a line that no entry wrote.
+	test.prop([fc.string({ unit: 'binary' })], { seed: 6 })('removes all control characters', text => {
+		expect(formatForTerminal(text)).not.toMatch(/[\u0000-\u001f\u007f-\u009f]/);
 	});
 
 	test.prop([fc.array(fc.tuple(fc.stringMatching(/^[a-z]{1,9}$/), fc.nat()), { minLength: 1 })], { seed: 6 })(
@@ -74,17 +74,16 @@
 });
 
 describe('renderStatus', () => {
-	// One target of hundreds has failed. On one screen an operator must see that one, though the table is
-	// cut to what fits.
-	it('shows what differs from the rest first, and says how much it leaves out', () => {
+	// Guards against a truncated table that hides the single failed target among many serving ones.
+	it('shows rows in the rarest state first and the number of omitted rows', () => {
 		const serving = Array.from({ length: 40 }, (_, index) => createTarget(`bookings-${index}`));
 		const lines = renderStatus(createStatus({ targets: [...serving, createTarget('odd-one', 'failed')] }));
 		const heading = lines.findIndex(line => line.startsWith('TARGET'));
 		expect(lines[heading + 1]).toMatch(/^odd-one +bookings +kingston-a +failed/);
-		expect(lines).toContain(`... and ${41 - mostRows} more: --all shows them`);
+		expect(lines).toContain(`... and ${41 - defaultMaxRows} more: --all shows them`);
 	});
 
-	it('says that an entry is not ready, and why', () => {
+	it('shows that an entry is not ready, and the reasons', () => {
 		const readiness = { isReady: false, reasons: ['no manifest yet', 'no peer'] };
 		const lines = renderStatus(
 			createStatus({ readiness, manifest: null, platform: { lastReadAgeMs: null } }),
@@ -95,7 +94,7 @@
 });
 
 describe('renderEntries', () => {
-	it('lists asked entries, and others by their newest view', () => {
+	it('lists queried entries, and their peers by the newest view', () => {
 		const first = createStatus({ peers: [createPeer('entry-montego-1', 9_000)] });
 		const second = createStatus({ instance: 'entry-ocho-1', peers: [createPeer('entry-montego-1', 400)] });
 		const lines = renderEntries([first, second]);
@@ -103,22 +102,22 @@
 		expect(lines.join('\n')).toMatch(/entry-montego-1 .* by entry-ocho-1, 400ms ago/);
 	});
 
-	// The build pipeline published two documents under one version. Both halves of the fleet keep what they
-	// have, and callers get answers by different rules until a higher version is out.
-	it('names one version in two forms', () => {
+	// Guards against an unreported version conflict: after two documents were published with the same version, each
+	// entry keeps the one it has, and callers get different results until a higher version is published.
+	it('reports two documents with the same version', () => {
 		const other = createStatus({ instance: 'b', manifest: { version: 12, digest: 'cd34', ageMs: 1 } });
 		expect(findManifestDifferences([createStatus(), other])).toEqual([
-			'manifest 12 stands in two different forms; publish a higher version',
+			'manifest 12 has two different documents; publish a higher version',
 		]);
 		expect(findManifestDifferences([createStatus(), createStatus()])).toEqual([]);
 	});
 });
 
 describe('renderTrail', () => {
-	it('puts trails together by time and shows a change on a line', () => {
+	it('merges trails by time and renders each change on one line', () => {
 		const [early, late] = [createTrailRecord(createRecord(1)), createTrailRecord(createRecord(2))];
 		const merged = mergeTrails([[{ instance: 'a', record: late }], [{ instance: 'b', record: early }]]);
-		expect(merged.map(renderTrailLine)).toEqual([
+		expect(merged.map(renderTrailRecord)).toEqual([
 			'1970-01-01T00:00:01.000Z  b  target bookings-1: serving -> failed  (connect refused; manifest 12)',
 			'1970-01-01T00:00:02.000Z  a  target bookings-1: serving -> failed  (connect refused; manifest 12)',
 		]);
@@ -126,7 +125,7 @@
 });
 
 describe('compareManifests', () => {
-	it('compares named things by name and tells each change by its place', () => {
+	it('compares named objects by name and reports each change with its path', () => {
 		const changes = compareManifests(createManifest(['b', 'c']), createManifest(['a', 'c'], 12));
 		expect(changes.map(change => renderManifestChange(change).slice(0, 40))).toEqual([
 			'~ services[bookings].slotsPerTarget: 8 -> 12'.slice(0, 40),
@@ -136,11 +135,14 @@
 	});
 
 	const idSet = fc.uniqueArray(fc.stringMatching(/^[a-z]{1,3}$/), { maxLength: 8 });
-	test.prop([idSet, idSet], { seed: 6 })('finds exactly the targets that one side lacks', (from, to) => {
-		const places = compareManifests(createManifest(from), createManifest(to)).map(change => change.place);
-		const expected = [...from.filter(id => !to.includes(id)), ...to.filter(id => !from.includes(id))].map(
-			id => `targets[${id}]`,
-		);
-		expect(places.sort()).toEqual(expected.sort());
-	});
+	test.prop([idSet, idSet], { seed: 6 })(
+		'finds exactly the targets that are missing on one side',
+		(from, to) => {
+			const places = compareManifests(createManifest(from), createManifest(to)).map(change => change.place);
+			const expected = [...from.filter(id => !to.includes(id)), ...to.filter(id => !from.includes(id))].map(
+				id => `targets[${id}]`,
+			);
+			expect(places.sort()).toEqual(expected.sort());
+		},
+	);
 });
--- a/src/ctl/test/startedProgram.ts
+++ b/src/ctl/test/startedProgram.ts
@@ -1,5 +1,5 @@
 /**
- * A program of the build as a process of its own, watched through the lines that it writes.
+ * Runs a compiled program as a child process and waits for lines that it writes to standard output.
  */
 
 import type { ChildProcess } from 'node:child_process';
@@ -10,7 +10,7 @@
 import { createInterface } from 'node:readline';
 
 interface LineWait {
-	readonly sign: string;
+	readonly text: string;
 	resolve(line: string): void;
 	fail(reason: Error): void;
 }
@@ -18,10 +18,10 @@
 export class StartedProgram {
 	private readonly process: ChildProcess;
 	private readonly lines: string[] = [];
-	private readonly waits = new Set<LineWait>();
+	private readonly pendingWaits = new Set<LineWait>();
 	private readonly exited: Promise<unknown[]>;
 
-	/** Starts `bin/NAME` of a folder of compiled sources with settings that are written to `ID.ini` there. */
+	/** Writes the settings to `ID.ini` in a folder of compiled sources and starts the program `src/bin/NAME.js` there. */
 	constructor(folder: string, name: string, id: string, settings: string) {
 		const file = join(folder, `${id}.ini`);
 		writeFileSync(file, settings);
@@ -32,20 +32,20 @@
 		this.exited = once(program, 'exit');
 		createInterface({ input: program.stdout })
 			.on('line', line => {
-				this.takeLine(line);
+				this.handleLine(line);
 			})
 			.on('close', () => {
-				this.failWaits();
+				this.failPendingWaits();
 			});
 	}
 
-	/** The first line that holds a text, written now or before. */
-	async waitForLine(sign: string): Promise<Record<string, unknown>> {
-		const written = this.lines.find(line => line.includes(sign));
+	/** Returns the first line that contains a text, whether already written or still to come, parsed as JSON. */
+	async waitForLine(text: string): Promise<Record<string, unknown>> {
+		const written = this.lines.find(line => line.includes(text));
 		const line =
 			written ??
 			(await new Promise<string>((resolve, reject) => {
-				this.waits.add({ sign, resolve, fail: reject });
+				this.pendingWaits.add({ text, resolve, fail: reject });
 			}));
 		return JSON.parse(line) as Record<string, unknown>;
 	}
@@ -54,7 +54,7 @@
 		this.process.kill('SIGTERM');
 	}
 
-	/** The exit code. */
+	/** Resolves to the exit code. */
 	async waitForExit(): Promise<unknown> {
 		const [code] = await this.exited;
 		return code;
@@ -65,20 +65,20 @@
 		await this.exited;
 	}
 
-	private takeLine(line: string): void {
+	private handleLine(line: string): void {
 		this.lines.push(line);
-		for (const wait of this.waits) {
-			if (line.includes(wait.sign)) {
-				this.waits.delete(wait);
+		for (const wait of this.pendingWaits) {
+			if (line.includes(wait.text)) {
+				this.pendingWaits.delete(wait);
 				wait.resolve(line);
 			}
 		}
 	}
 
-	private failWaits(): void {
-		for (const { sign, fail } of this.waits) {
-			fail(new Error(`the program ended before it wrote ${sign}`));
+	private failPendingWaits(): void {
+		for (const { text, fail } of this.pendingWaits) {
+			fail(new Error(`the program closed its output before it wrote ${text}`));
 		}
-		this.waits.clear();
+		this.pendingWaits.clear();
 	}
 }
