--- a/src/base/common/channel.ts
+++ b/src/base/common/channel.ts
@@ -1,8 +1,8 @@
 /**
- * A channel is the source end of a `most` stream: its owner emits values, any number of subscribers
- * observe them, and nothing is buffered for those that come later. Values that change over time (ticks,
- * manifests, instance lists, views of peers, audit events) travel on channels; bytes of requests and
- * answers do not, since `most` knows no backpressure.
+ * A channel is the source of a `most` stream: its owner emits values to any number of subscribers. Values are not
+ * buffered for later subscribers. Channels carry values that change over time, such as ticks, manifests, instance lists,
+ * views of peers and audit events. They do not carry the bytes of requests and answers, since `most` has no
+ * backpressure.
  */
 
 import { Stream } from 'most';
@@ -10,11 +10,11 @@
 import type { IDisposable } from './lifecycle';
 import { toDisposable } from './lifecycle';
 
-/** An owner's handle on a multicast stream. */
+/** Emits values to a multicast stream. */
 export class Channel<TValue> implements IDisposable {
 	private readonly sinks = new Map<Sink<TValue>, Scheduler>();
 
-	/** The values as `most` sees them. */
+	/** The stream of emitted values. */
 	readonly stream: MostStream<TValue> = new Stream<TValue>({
 		run: (sink: Sink<TValue>, scheduler: Scheduler) => {
 			this.sinks.set(sink, scheduler);
@@ -26,7 +26,7 @@
 		},
 	});
 
-	/** Delivers a value to every present subscriber, in the order of their subscription. */
+	/** Delivers a value to every current subscriber, in the order of their subscription. */
 	emit(value: TValue): void {
 		for (const [sink, scheduler] of [...this.sinks]) {
 			sink.event(scheduler.now(), value);
@@ -42,7 +42,7 @@
 	}
 }
 
-/** Subscribes a callback to a stream until the returned disposable is released. */
+/** Subscribes a callback to a stream until the returned disposable is disposed of. */
 export function subscribeTo<TValue>(
 	stream: MostStream<TValue>,
 	observe: (value: TValue) => void,
--- a/src/base/common/chart.ts
+++ b/src/base/common/chart.ts
@@ -1,77 +1,79 @@
 /**
- * State charts. The states and events of a life (of a request, a target, an order, a manifest, an
- * instance) stand in `charts/*.json`, in the form that xstate reads; this interpreter walks a flat table
- * made from the file once, since xstate's own pure transition costs tens of microseconds a step, which
- * the request path cannot spend. Tests hand the same files to xstate and compare the two.
+ * State charts. The states and events of requests, targets, manifests and instances are defined in `charts/*.json`, in
+ * the format of xstate. The interpreter uses a flat transition table that is built once from the definition, because a
+ * pure transition of xstate takes tens of microseconds, which is too slow for the request path. Tests load the same
+ * files into xstate and compare the results.
  */
 
-/** One state of a chart file: where each event leads, or that the state is final. */
-export interface ChartStateFile {
+/** One state of a definition: the next state for each event, or `type: 'final'`. */
+export interface StateDefinition {
 	readonly type?: string;
 	readonly on?: Readonly<Record<string, string>>;
 }
 
-/** A chart file, flat: no nesting, guards or actions. */
-export interface ChartFile {
+/** A flat state chart: no nested states, guards or actions. */
+export interface StateChartDefinition {
 	readonly id: string;
 	readonly initial: string;
-	readonly states: Readonly<Record<string, ChartStateFile>>;
+	readonly states: Readonly<Record<string, StateDefinition>>;
 }
 
-/** Thrown for an event that a state has no edge for: a fault of the program, never of its input. */
-export class ChartError extends Error {}
+/** Thrown for an invalid definition or transition. Indicates a bug in the program, never invalid input. */
+export class StateChartError extends Error {}
 
-/** The checked table of a chart; one is shared by every life that follows it. */
-export class Chart {
+/** The validated transition table of a state chart, shared by all its interpreters. */
+export class StateChart {
 	readonly id: string;
 	readonly initial: string;
-	private readonly table = new Map<string, ReadonlyMap<string, string>>();
+	private readonly transitions = new Map<string, ReadonlyMap<string, string>>();
 
-	constructor(file: ChartFile) {
-		this.id = file.id;
-		this.initial = file.initial;
-		for (const [state, { on }] of Object.entries(file.states)) {
-			this.table.set(state, new Map(Object.entries(on ?? {})));
+	constructor(definition: StateChartDefinition) {
+		this.id = definition.id;
+		this.initial = definition.initial;
+		for (const [state, { on }] of Object.entries(definition.states)) {
+			this.transitions.set(state, new Map(Object.entries(on ?? {})));
 		}
-		this.checkEdges();
+		this.checkTransitions();
 	}
 
 	listStates(): string[] {
-		return [...this.table.keys()];
+		return [...this.transitions.keys()];
 	}
 
 	listEvents(state: string): string[] {
-		return [...(this.table.get(state)?.keys() ?? [])];
+		return [...(this.transitions.get(state)?.keys() ?? [])];
 	}
 
-	/** The state that an event leads to, or undefined where the chart has no such edge. */
-	findNext(state: string, event: string): string | undefined {
-		return this.table.get(state)?.get(event);
+	/** Returns the state after an event, or undefined if the state has no transition for it. */
+	findNextState(state: string, event: string): string | undefined {
+		return this.transitions.get(state)?.get(event);
 	}
 
 	isFinal(state: string): boolean {
-		return this.table.get(state)?.size === 0;
+		return this.transitions.get(state)?.size === 0;
 	}
 
-	private checkEdges(): void {
-		if (!this.table.has(this.initial)) {
-			throw new ChartError(`${this.id}: the initial state ${this.initial} is not a state`);
+	private checkTransitions(): void {
+		if (!this.transitions.has(this.initial)) {
+			throw new StateChartError(`${this.id}: the initial state ${this.initial} is not a state`);
 		}
-		for (const [state, edges] of this.table) {
-			for (const [event, next] of edges) {
-				if (!this.table.has(next)) {
-					throw new ChartError(`${this.id}: ${event} leads from ${state} to ${next}, which is not a state`);
+		for (const [state, stateTransitions] of this.transitions) {
+			for (const [event, next] of stateTransitions) {
+				if (!this.transitions.has(next)) {
+					throw new StateChartError(
+						`${this.id}: ${event} leads from ${state} to ${next}, which is not a state`,
+					);
 				}
 			}
 		}
 	}
 }
 
-/** One life on a chart. */
-export class ChartWalk {
+/** Holds the current state of one object that follows a state chart. */
+export class StateChartInterpreter {
 	private current: string;
 
-	constructor(private readonly chart: Chart) {
+	constructor(private readonly chart: StateChart) {
 		this.current = chart.initial;
 	}
 
@@ -83,19 +85,19 @@
 		return this.chart.isFinal(this.current);
 	}
 
-	/** Follows an event's edge and gives the new state; an event without an edge is a ChartError. */
+	/** Applies an event and returns the new state. Throws a StateChartError if the state has no transition for it. */
 	send(event: string): string {
-		const next = this.chart.findNext(this.current, event);
+		const next = this.chart.findNextState(this.current, event);
 		if (next === undefined) {
-			throw new ChartError(`${this.chart.id}: no edge for ${event} in state ${this.current}`);
+			throw new StateChartError(`${this.chart.id}: no transition for ${event} in state ${this.current}`);
 		}
 		this.current = next;
 		return next;
 	}
 
-	/** Follows an event's edge where there is one, and says whether there was. */
+	/** Applies an event if the state has a transition for it. Returns whether it has. */
 	accept(event: string): boolean {
-		const next = this.chart.findNext(this.current, event);
+		const next = this.chart.findNextState(this.current, event);
 		if (next === undefined) {
 			return false;
 		}
--- a/src/base/common/lifecycle.ts
+++ b/src/base/common/lifecycle.ts
@@ -1,14 +1,14 @@
 /**
- * Ownership of things that must be released: whoever makes a disposable either releases it or hands it to
- * a store that does. Releasing twice is harmless, so that a shutdown path may overlap with an error path.
+ * Ownership of resources that must be released. The code that creates a disposable either disposes of it or adds it to a
+ * store that does. Disposing twice is harmless, so that a shutdown path and an error path may overlap.
  */
 
-/** Something that holds a resource until it is disposed of. */
+/** An object that holds a resource until it is disposed of. */
 export interface IDisposable {
 	dispose(): void;
 }
 
-/** Makes a disposable from a callback that runs once, on the first disposal. */
+/** Creates a disposable from a callback that runs once, on the first disposal. */
 export function toDisposable(release: () => void): IDisposable {
 	let isDisposed = false;
 	return {
@@ -22,12 +22,12 @@
 	};
 }
 
-/** Owns disposables and releases them in the reverse order of their arrival. */
+/** Owns disposables and disposes of them in the reverse order in which they were added. */
 export class DisposableStore implements IDisposable {
 	private readonly members: IDisposable[] = [];
 	private isDisposed = false;
 
-	/** Takes ownership; a member that arrives after disposal is released at once. */
+	/** Takes ownership of a member. A member that is added after disposal is disposed of at once. */
 	add<TMember extends IDisposable>(member: TMember): TMember {
 		if (this.isDisposed) {
 			member.dispose();
@@ -45,7 +45,7 @@
 	}
 }
 
-/** Base of classes that own disposables: what they register is released with them. */
+/** Base class for owners of disposables. Registered members are disposed of together with the owner. */
 export abstract class Disposable implements IDisposable {
 	private readonly store = new DisposableStore();
 
--- a/src/base/common/manualTimerService.ts
+++ b/src/base/common/manualTimerService.ts
@@ -1,6 +1,6 @@
 /**
- * A timer service whose clock stands still until it is advanced. Due callbacks run in the order of their
- * time and, at equal times, of their scheduling, so a run depends on nothing but its inputs.
+ * A timer service whose clock only moves when it is advanced. Due callbacks run in the order of their time and, at equal
+ * times, in the order in which they were scheduled, so a run is deterministic.
  */
 
 import { Heap } from 'heap-js';
@@ -21,7 +21,7 @@
 	return left.dueMs - right.dueMs || left.sequence - right.sequence;
 }
 
-/** The virtual clock of tests, the bench and the small target model. */
+/** The virtual clock of tests, benchmarks and simulations. */
 export class ManualTimerService implements ITimerService {
 	private readonly pending = new Heap<PendingTimer>(compareTimers);
 	private nowMs: number;
@@ -51,17 +51,17 @@
 	watchTicks(periodMs: number): Stream<Tick> {
 		const channel = new Channel<Tick>();
 		let lastMs = this.nowMs;
-		const beat = (): void => {
+		const emitTick = (): void => {
 			const elapsedMs = this.nowMs - lastMs;
 			lastMs = this.nowMs;
-			this.schedule(periodMs, beat);
+			this.schedule(periodMs, emitTick);
 			channel.emit({ nowMs: this.nowMs, elapsedMs });
 		};
-		this.schedule(periodMs, beat);
+		this.schedule(periodMs, emitTick);
 		return channel.stream;
 	}
 
-	/** Moves the clock forward and runs everything that falls due on the way. */
+	/** Advances the clock and runs the callbacks that become due. */
 	advance(durationMs: number): void {
 		const untilMs = this.nowMs + durationMs;
 		for (;;) {
@@ -78,8 +78,8 @@
 		this.nowMs = untilMs;
 	}
 
-	/** Moves the clock without running what falls due, as a frozen process would find it on waking. */
-	advanceAsleep(durationMs: number): void {
+	/** Advances the clock without running due callbacks, like the clock of a process that is frozen. */
+	advanceWithoutTimers(durationMs: number): void {
 		this.nowMs += durationMs;
 	}
 }
--- a/src/base/common/random.ts
+++ b/src/base/common/random.ts
@@ -1,6 +1,6 @@
 /**
- * Seeded randomness. Every random choice of the system and its tools is drawn from a source handed in, so
- * that a run can be repeated from its seed.
+ * Seeded random numbers. All code that makes random choices gets its random source passed in, so that a run can be
+ * repeated with the same seed.
  */
 
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
@@ -16,19 +16,19 @@
 const unsignedRange = 0x1_0000_0000;
 
 /**
- * Draws thrown away at the start. A small seed fills few bits of the generator's state, and until they have
- * spread, its draws lie close to 1 (seed 1: 1.000, 0.996, 0.997); runs from small seeds would all begin
- * with the same extreme choices.
+ * Number of draws discarded at the start. A small seed sets few bits of the generator's state, and the first draws from
+ * such a state are close to 1 (seed 1: 1.000, 0.996, 0.997), so all runs with small seeds would start with the same
+ * extreme choices.
  */
-const warmUpDraws = 64;
+const discardedDraws = 64;
 
-/** A repeatable source; not for secrets. */
+/** A repeatable source of random numbers. Not for secrets. */
 export class SeededRandom implements IRandom {
 	private readonly generator;
 
 	constructor(seed: number) {
 		this.generator = xoroshiro128plus(seed);
-		for (let draw = 0; draw < warmUpDraws; draw++) {
+		for (let draw = 0; draw < discardedDraws; draw++) {
 			this.generator.next();
 		}
 	}
--- a/src/base/common/textTable.ts
+++ b/src/base/common/textTable.ts
@@ -1,33 +1,33 @@
 /**
- * Aligned columns for a terminal, the one way in which every command prints a table.
+ * Formats tables with aligned columns for a terminal. All commands use it for their output.
  */
 
-const gap = '  ';
-const figure = /^[-+]?[\d.,]+( ?(ms|%|x))?$/;
+const columnSeparator = '  ';
+const numericCellPattern = /^[-+]?[\d.,]+( ?(ms|%|x))?$/;
 
 type Cells = readonly string[];
 
-/** Whether a cell stands at the right end of its column. */
-export type IsAtRight = (cell: string, column: number) => boolean;
+/** Decides whether a cell is aligned to the right. */
+export type IsRightAligned = (cell: string, column: number) => boolean;
 
-/** One text for each line of cells, in columns as wide as their widest cell; no trailing blanks. */
-export function formatColumns(lines: readonly Cells[], isAtRight: IsAtRight): string[] {
+/** Returns one text per row, in columns as wide as their widest cell and without trailing spaces. */
+export function formatColumns(lines: readonly Cells[], isRightAligned: IsRightAligned): string[] {
 	const widths = measureColumns(lines);
 	return lines.map(cells =>
 		widths
 			.map((width, column) => {
 				const cell = cells[column] ?? '';
-				return isAtRight(cell, column) ? cell.padStart(width) : cell.padEnd(width);
+				return isRightAligned(cell, column) ? cell.padStart(width) : cell.padEnd(width);
 			})
-			.join(gap)
+			.join(columnSeparator)
 			.trimEnd(),
 	);
 }
 
-/** A head, a rule and rows; figures stand at the right, words at the left. */
+/** Formats a header, a rule and rows. Numeric cells are aligned to the right, other cells to the left. */
 export function renderTable(head: Cells, rows: readonly Cells[]): string {
 	const rule = measureColumns([head, ...rows]).map(width => '-'.repeat(width));
-	return formatColumns([head, rule, ...rows], cell => figure.test(cell)).join('\n');
+	return formatColumns([head, rule, ...rows], cell => numericCellPattern.test(cell)).join('\n');
 }
 
 function measureColumns(lines: readonly Cells[]): number[] {
--- a/src/base/common/waitFor.ts
+++ b/src/base/common/waitFor.ts
@@ -1,5 +1,5 @@
 /**
- * A pause that ends early when its purpose is given up.
+ * A delay that can be aborted.
  */
 
 import type { ITimerService } from './timerService';
--- a/src/base/node/listenOn.ts
+++ b/src/base/node/listenOn.ts
@@ -1,11 +1,14 @@
 /**
- * Opens the port of a server.
+ * Starts a server on a port and waits until it listens.
  */
 
 import { once } from 'node:events';
 import type { AddressInfo, Server } from 'node:net';
 
-/** Gives the address in use, which tells the port where 0 was asked for; rejects where it cannot be had. */
+/**
+ * Returns the address in use, which contains the assigned port if port 0 was requested. Rejects if the address is not
+ * available.
+ */
 export async function listenOn(
 	server: Server,
 	address: Pick<AddressInfo, 'port'> & { readonly host: string },
--- a/src/base/node/systemTimerService.ts
+++ b/src/base/node/systemTimerService.ts
@@ -1,6 +1,6 @@
 /**
- * The timer service of a running process, on Node's monotonic clock. Subscribers of one period share one
- * timer, so a thousand parts that beat every second cost one wake-up of the loop a second.
+ * The timer service of a running process, based on Node's monotonic clock. Subscribers with the same period share one
+ * timer, so a thousand components with a tick every second cost one wake-up of the event loop per second.
  */
 
 import { performance } from 'node:perf_hooks';
@@ -10,7 +10,7 @@
 import { Disposable, toDisposable } from '../common/lifecycle';
 import type { ITimerService, Tick } from '../common/timerService';
 
-/** Ticks and delays from the process's own clock; its timers never keep the process alive. */
+/** Provides ticks and delays from the clock of the process. Its timers do not keep the process alive. */
 export class SystemTimerService extends Disposable implements ITimerService {
 	private readonly channels = new Map<number, Channel<Tick>>();
 
--- a/src/base/test/chart.test.ts
+++ b/src/base/test/chart.test.ts
@@ -1,31 +1,31 @@
-import { Chart, ChartError, ChartWalk } from '../common/chart';
+import { StateChart, StateChartError, StateChartInterpreter } from '../common/chart';
 
-function createDoorChart(): Chart {
-	return new Chart({
+function createDoorStateChart(): StateChart {
+	return new StateChart({
 		id: 'door',
 		initial: 'closed',
 		states: { closed: { on: { Open: 'ajar' } }, ajar: { on: { Slam: 'broken' } }, broken: { type: 'final' } },
 	});
 }
 
-describe('Chart', () => {
-	it('follows edges until a final state', () => {
-		const walk = new ChartWalk(createDoorChart());
-		walk.send('Open');
-		walk.send('Slam');
-		expect(walk.getState()).toBe('broken');
-		expect(walk.isEnded()).toBe(true);
+describe('StateChart', () => {
+	it('follows transitions until a final state', () => {
+		const interpreter = new StateChartInterpreter(createDoorStateChart());
+		interpreter.send('Open');
+		interpreter.send('Slam');
+		expect(interpreter.getState()).toBe('broken');
+		expect(interpreter.isEnded()).toBe(true);
 	});
 
-	it('refuses an event that the state has no edge for and stays where it was', () => {
-		const walk = new ChartWalk(createDoorChart());
-		expect(() => walk.send('Slam')).toThrow(ChartError);
-		expect(walk.accept('Slam')).toBe(false);
-		expect(walk.getState()).toBe('closed');
+	it('rejects an event without a transition and keeps its state', () => {
+		const interpreter = new StateChartInterpreter(createDoorStateChart());
+		expect(() => interpreter.send('Slam')).toThrow(StateChartError);
+		expect(interpreter.accept('Slam')).toBe(false);
+		expect(interpreter.getState()).toBe('closed');
 	});
 
-	it('refuses a file whose edge leads nowhere', () => {
-		const file = { id: 'door', initial: 'closed', states: { closed: { on: { Open: 'ajar' } } } };
-		expect(() => new Chart(file)).toThrow('Open leads from closed to ajar');
+	it('rejects a definition with a transition to an unknown state', () => {
+		const definition = { id: 'door', initial: 'closed', states: { closed: { on: { Open: 'ajar' } } } };
+		expect(() => new StateChart(definition)).toThrow('Open leads from closed to ajar');
 	});
 });
--- a/src/base/test/manualTimerService.test.ts
+++ b/src/base/test/manualTimerService.test.ts
@@ -3,7 +3,7 @@
 import type { Tick } from '../common/timerService';
 
 describe('ManualTimerService', () => {
-	it('runs callbacks in the order of their time, those of one time in the order of scheduling', () => {
+	it('runs callbacks in the order of their time and, at equal times, in the order of scheduling', () => {
 		const timers = new ManualTimerService();
 		const ran: string[] = [];
 		timers.schedule(20, () => ran.push('late'));
@@ -14,12 +14,12 @@
 		expect(ran).toEqual(['first', 'second', 'late']);
 	});
 
-	it('beats for its subscribers until they leave, and tells a frozen time as one long beat', () => {
+	it('emits ticks until the subscription ends, and one tick for the time without timers', () => {
 		const timers = new ManualTimerService();
 		const ticks: Tick[] = [];
 		const subscription = subscribeTo(timers.watchTicks(100), tick => ticks.push(tick));
 		timers.advance(200);
-		timers.advanceAsleep(5_000);
+		timers.advanceWithoutTimers(5_000);
 		timers.advance(100);
 		subscription.dispose();
 		timers.advance(1_000);
--- a/src/base/test/random.test.ts
+++ b/src/base/test/random.test.ts
@@ -1,7 +1,7 @@
 import { SeededRandom } from '../common/random';
 
 describe('SeededRandom', () => {
-	it('gives the same draws for the same seed and others for another', () => {
+	it('gives the same draws for the same seed and different draws for another seed', () => {
 		const draw = (seed: number): number[] => {
 			const random = new SeededRandom(seed);
 			return Array.from({ length: 5 }, () => random.pickFraction());
@@ -10,9 +10,9 @@
 		expect(draw(3)).not.toEqual(draw(4));
 	});
 
-	it('starts small seeds with draws that are spread out', () => {
-		// Small seeds fill few bits of the generator. Unspread, every run from a small seed would begin with
-		// draws close to 1, and tests over "a hundred seeds" would try one start a hundred times.
+	it('gives well-distributed first draws for small seeds', () => {
+		// Small seeds set few bits of the generator's state. Without discarded draws, every run with a small seed
+		// would start with draws close to 1, and tests with a hundred seeds would try the same start a hundred times.
 		const firsts = Array.from({ length: 200 }, (_, seed) => new SeededRandom(seed + 1).pickFraction());
 		const mean = firsts.reduce((sum, value) => sum + value, 0) / firsts.length;
 		expect(mean).toBeGreaterThan(0.4);
--- a/src/base/test/textTable.test.ts
+++ b/src/base/test/textTable.test.ts
@@ -1,7 +1,7 @@
 import { renderTable } from '../common/textTable';
 
 describe('renderTable', () => {
-	it('sets figures to the right and words to the left, and leaves no blank at the end of a line', () => {
+	it('aligns numeric cells to the right and other cells to the left, without trailing spaces', () => {
 		const rows = [
 			['a', '12 ms', 'x'],
 			['longer', '3 ms'],
--- a/src/core/charts/common/typedChart.ts
+++ b/src/core/charts/common/typedChart.ts
@@ -4,8 +4,8 @@
  * that comparison a state renamed in the file alone would be found by the first request that reaches it.
  */
 
-import type { ChartFile } from '../../../base/common/chart';
-import { Chart, ChartError, ChartWalk } from '../../../base/common/chart';
+import type { StateChartDefinition } from '../../../base/common/chart';
+import { StateChart, StateChartError, StateChartInterpreter } from '../../../base/common/chart';
 
 /** The values of a string enum. */
 type EnumValues<TValue extends string> = Readonly<Record<string, TValue>>;
@@ -19,7 +19,7 @@
 	const unknown = inFile.filter(name => !inCode.includes(name));
 	const missing = inCode.filter(name => !inFile.includes(name));
 	if (unknown.length > 0 || missing.length > 0) {
-		throw new ChartError(
+		throw new StateChartError(
 			`${chartId}: ${what} only in the file: ${unknown.join(' ')}; only in the code: ${missing.join(' ')}`,
 		);
 	}
@@ -27,11 +27,11 @@
 
 /** A chart together with the enums of its states and events. */
 export class TypedChart<TState extends string, TEvent extends string> {
-	readonly chart: Chart;
+	readonly chart: StateChart;
 
 	/** Throws a ChartError where the file and the enums name different states or events. */
-	constructor(file: ChartFile, states: EnumValues<TState>, events: EnumValues<TEvent>) {
-		this.chart = new Chart(file);
+	constructor(file: StateChartDefinition, states: EnumValues<TState>, events: EnumValues<TEvent>) {
+		this.chart = new StateChart(file);
 		const fileStates = this.chart.listStates();
 		const fileEvents = new Set(fileStates.flatMap(state => this.chart.listEvents(state)));
 		checkNames(file.id, 'states', fileStates, Object.values(states));
@@ -40,16 +40,16 @@
 
 	/** The state that an event leads to, or undefined where the chart has no such edge. */
 	findNext(state: TState, event: TEvent): TState | undefined {
-		return this.chart.findNext(state, event) as TState | undefined;
+		return this.chart.findNextState(state, event) as TState | undefined;
 	}
 }
 
 /** One life on a typed chart. */
 export class TypedWalk<TState extends string, TEvent extends string> {
-	private readonly walk: ChartWalk;
+	private readonly walk: StateChartInterpreter;
 
 	constructor(chart: TypedChart<TState, TEvent>) {
-		this.walk = new ChartWalk(chart.chart);
+		this.walk = new StateChartInterpreter(chart.chart);
 	}
 
 	getState(): TState {
--- a/src/core/charts/test/charts.test.ts
+++ b/src/core/charts/test/charts.test.ts
@@ -1,37 +1,37 @@
 import { readdirSync, readFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { createMachine, transition } from 'xstate';
-import type { ChartFile } from '../../../base/common/chart';
-import { Chart } from '../../../base/common/chart';
+import type { StateChartDefinition } from '../../../base/common/chart';
+import { StateChart } from '../../../base/common/chart';
 
 const folder = join(__dirname, '../../../../charts');
 
-function listChartFiles(): [string, ChartFile][] {
+function listChartFiles(): [string, StateChartDefinition][] {
 	return readdirSync(folder)
 		.filter(name => name.endsWith('.json'))
-		.map(name => [name, JSON.parse(readFileSync(join(folder, name), 'utf8')) as ChartFile]);
+		.map(name => [name, JSON.parse(readFileSync(join(folder, name), 'utf8')) as StateChartDefinition]);
 }
 
 /** Where xstate goes from a state on an event; the state itself where it has no edge. */
-function findNextByXstate(file: ChartFile, state: string, event: string): unknown {
+function findNextByXstate(file: StateChartDefinition, state: string, event: string): unknown {
 	const machine = createMachine(file as unknown as Parameters<typeof createMachine>[0]);
 	const snapshot = machine.resolveState({ value: state, context: {} });
 	const [next] = transition(machine, snapshot, { type: event });
 	return next.value;
 }
 
-function listReachable(chart: Chart): Set<string> {
+function listReachable(chart: StateChart): Set<string> {
 	const reached = new Set([chart.initial]);
 	for (const state of reached) {
 		for (const event of chart.listEvents(state)) {
-			reached.add(chart.findNext(state, event)!);
+			reached.add(chart.findNextState(state, event)!);
 		}
 	}
 	return reached;
 }
 
 describe.each(listChartFiles())('%s', (name, file) => {
-	const chart = new Chart(file);
+	const chart = new StateChart(file);
 	const events = [...new Set(chart.listStates().flatMap(state => chart.listEvents(state)))];
 
 	it('is named after its file', () => {
@@ -40,7 +40,7 @@
 
 	it('leads to the same states in xstate, for every state and event', () => {
 		for (const state of chart.listStates().filter(candidate => !chart.isFinal(candidate))) {
-			const ours = events.map(event => chart.findNext(state, event) ?? state);
+			const ours = events.map(event => chart.findNextState(state, event) ?? state);
 			expect(ours).toEqual(events.map(event => findNextByXstate(file, state, event)));
 		}
 	});
--- a/src/entry/node/test/sleepDetector.test.ts
+++ b/src/entry/node/test/sleepDetector.test.ts
@@ -40,7 +40,7 @@
 		// thing it sees on waking; decided on at once, the request would go to the target that left.
 		const sleeper = createSleeper();
 		sleeper.timers.advance(1_000);
-		sleeper.timers.advanceAsleep(60_000);
+		sleeper.timers.advanceWithoutTimers(60_000);
 		const hold = sleeper.guard.findHold();
 		expect(hold).toBeDefined();
 		expect(sleeper.slept).toHaveLength(1);
@@ -52,7 +52,7 @@
 	it('goes on with what it holds where nobody answers', async () => {
 		// The region was cut off meanwhile. Held for good, its own crews would get no answer at all.
 		const sleeper = createSleeper();
-		sleeper.timers.advanceAsleep(60_000);
+		sleeper.timers.advanceWithoutTimers(60_000);
 		const hold = sleeper.guard.findHold();
 		sleeper.timers.advance(1_000);
 		await hold;
