--- a/eslint.config.mjs
+++ b/eslint.config.mjs
@@ -1,7 +1,7 @@
 import tseslint from 'typescript-eslint';
 import { functionVerbs } from './scripts/functionVerbs.mjs';
 
-/** Layers from the lowest to the highest; a folder imports only from its own layer and those before it. */
+/** Layers from the lowest to the highest. A folder imports only from its own layer and from lower ones. */
 const layers = [
 	'base',
 	'core',
@@ -16,23 +16,23 @@
 	'bin',
 ];
 
-/** Features beside each other: none of them imports another, whatever their order in `layers`. */
+/** Independent features: none of them imports another, whatever their order in `layers`. */
 const features = ['entry', 'ctl', 'standin', 'load', 'bench', 'capacity', 'demo', 'prove'];
 
-/** The bench measures the pure decisions of the entry, the capacity measurement makes entries of its parts. */
+/** The benchmark measures pure functions of the entry. The capacity measurement builds entries from its parts. */
 const measured = 'entry';
 
-/** The failure campaign runs on the demo's harness of processes. */
+/** The failure tests use the process harness of the demo. */
 const harnessOfProve = 'demo';
 
-/** The only imports between features, from the one that imports to the one that is imported. */
+/** The only allowed imports between features: importing feature to imported feature. */
 const allowedBeside = new Map([
 	['bench', measured],
 	['capacity', measured],
 	['prove', harnessOfProve],
 ]);
 
-/** Packages that touch the network, the file system or the process; `common` stays free of them. */
+/** Packages that access the network, the file system or the process. Not allowed in `common` folders. */
 const nodeOnlyPackages = ['undici', 'pino', 'yargs', 'prom-client', '@connectrpc/connect-node'];
 
 const verbPattern = `^(${functionVerbs.join('|')})(?![a-z])`;
@@ -73,7 +73,7 @@
 	};
 }
 
-/** The platform's adapter: nothing but the programs' composition may know it, and it decides nothing itself. */
+/** Rules for the platform adapter: only `src/bin` may import it, and its `common` folder must be pure. */
 const platformRules = [
 	{
 		files: ['src/**/*.ts'],
@@ -141,11 +141,11 @@
 				{
 					selector: ['function', 'classMethod', 'typeMethod'],
 					format: ['camelCase'],
-					// Callbacks that a library's interface names keep its names.
+					// Callbacks that are declared by a library keep their names.
 					filter: { regex: '^on[A-Z]', match: false },
 					custom: { regex: verbPattern, match: true },
 				},
-				// A method that a library's class names keeps its name.
+				// Methods that override a library class keep their names.
 				{ selector: 'classMethod', modifiers: ['override'], filter: '.', format: ['camelCase'] },
 				{ selector: 'interface', filter: '^I[A-Z]', format: ['PascalCase'] },
 				{ selector: ['class', 'typeAlias', 'enum', 'enumMember'], format: ['PascalCase'] },
--- a/jest.config.cjs
+++ b/jest.config.cjs
@@ -1,4 +1,4 @@
-/** Tests stand beside their subject in `test/` folders; sources are transformed to CommonJS by swc. */
+/** Tests are in `test/` folders next to the code that they test. swc transforms the sources to CommonJS. */
 module.exports = {
 	testEnvironment: 'node',
 	roots: ['<rootDir>/src', '<rootDir>/platform'],
--- a/scripts/bundleEntry.mjs
+++ b/scripts/bundleEntry.mjs
@@ -1,7 +1,7 @@
 /**
- * Puts the entry and all that it imports into one file, and the compiled code beside it. An instance that is
- * started anew under load must be back soon: reading some four hundred files at the start took 0.9 s of
- * processor time, one file takes 0.45 s. `target/entry.js` starts it from the compiled code.
+ * Bundles the entry with all its imports into one file and writes the V8 code cache next to it. An instance that
+ * restarts under load must be ready soon: loading some four hundred files took 0.9 s of processor time, loading one
+ * file takes 0.45 s. `target/entry.js` starts the bundle from the code cache.
  */
 
 import { execFileSync } from 'node:child_process';
@@ -9,7 +9,7 @@
 import { resolve } from 'node:path';
 import { build } from 'esbuild';
 
-/** As the deploy file starts it: Node takes compiled code only under the flags that it was made with. */
+/** Must be the flags of the deploy file: Node accepts a code cache only with the flags that it was created with. */
 const nodeFlags = ['--max-old-space-size=200'];
 
 rmSync('target/entryBundle.js.cache', { force: true });
@@ -36,9 +36,9 @@
 	platform: 'node',
 	target: 'node20',
 	format: 'cjs',
-	// Holds a native library, which is loaded from beside its package.
+	// Contains a native library, which is loaded from the folder of its package.
 	external: ['@node-rs/xxhash'],
-	// Packages written as modules ask where they stand, which a bundle in the older format does not know.
+	// ES modules read their location from import.meta.url, which does not exist in a CommonJS bundle.
 	define: { 'import.meta.url': 'bundleUrl' },
 	banner: { js: "const bundleUrl = require('node:url').pathToFileURL(__filename).href;" },
 	logLevel: 'warning',
@@ -60,6 +60,6 @@
 try {
 	execFileSync(process.execPath, [...nodeFlags, 'scripts/cacheEntry.cjs'], { stdio: 'inherit' });
 } catch (error) {
-	// The entry starts without compiled code as well, only later.
-	process.stderr.write(`no compiled code beside the bundle: ${error.message}\n`);
+	// Without the code cache the entry starts too, but more slowly.
+	process.stderr.write(`could not create the code cache of the bundle: ${error.message}\n`);
 }
--- a/scripts/entryLoader.cjs
+++ b/scripts/entryLoader.cjs
@@ -1,8 +1,8 @@
 /**
- * Starts the bundled entry from code that was compiled in the build. Without it each start parses and compiles
- * 3.5 MB anew: reading the settings took 0.33 s of processor time before and takes 0.19 s (mean of ten starts),
- * which callers wait for after all instances were lost at once. A cache that another Node made, or none, only
- * makes the start slower: Node checks it and compiles what it does not accept.
+ * Starts the bundled entry from the V8 code cache of the build. Without the cache, each start parses and compiles
+ * 3.5 MB: the time until the settings are read was 0.33 s of processor time without it and is 0.19 s with it (mean of
+ * ten starts). Callers wait for this time after all instances failed at once. A missing cache, or one of another Node
+ * version, only makes the start slower: Node validates the cache and compiles the code if it rejects it.
  */
 
 'use strict';
@@ -13,11 +13,11 @@
 const { Script } = require('node:vm');
 
 const bundleFile = join(__dirname, 'entryBundle.js');
-/** The line by which a shell finds Node; no part of a function's body. */
+/** The shebang line, which is a syntax error inside a function body. */
 const firstLinePattern = /^#!.*/;
 const cacheFile = `${bundleFile}.cache`;
 
-/** Gives the compiled code of the cache, or undefined where the build made none. */
+/** Returns the code cache, or undefined if the build created none. */
 function readCache() {
 	try {
 		return readFileSync(cacheFile);
--- a/scripts/functionVerbs.mjs
+++ b/scripts/functionVerbs.mjs
@@ -1,6 +1,6 @@
 /**
- * The verbs that function and method names begin with. The list is told in docs/GLOSSARY.md and
- * enforced by the naming rule in eslint.config.mjs; add a verb here only when none of these says it.
+ * The verbs that names of functions and methods begin with. The list is documented in docs/GLOSSARY.md and enforced by
+ * the naming rule in eslint.config.mjs. Add a verb only if none of these describes what a function does.
  */
 export const functionVerbs = [
 	'abandon',
