--- a/src/base/test/chart.test.ts
+++ b/src/base/test/stateChart.test.ts
@@ -1,4 +1,4 @@
-import { StateChart, StateChartError, StateChartInterpreter } from '../common/chart';
+import { StateChart, StateChartError, StateChartInterpreter } from '../common/stateChart';
 
 function createDoorStateChart(): StateChart {
 	return new StateChart({
--- a/src/core/charts/common/typedChart.ts
+++ b/src/core/charts/common/typedChart.ts
@@ -4,8 +4,8 @@
  * that comparison a state renamed in the file alone would be found by the first request that reaches it.
  */
 
-import type { StateChartDefinition } from '../../../base/common/chart';
-import { StateChart, StateChartError, StateChartInterpreter } from '../../../base/common/chart';
+import type { StateChartDefinition } from '../../../base/common/stateChart';
+import { StateChart, StateChartError, StateChartInterpreter } from '../../../base/common/stateChart';
 
 /** The values of a string enum. */
 type EnumValues<TValue extends string> = Readonly<Record<string, TValue>>;
--- a/src/core/charts/test/charts.test.ts
+++ b/src/core/charts/test/charts.test.ts
@@ -1,8 +1,8 @@
 import { readdirSync, readFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { createMachine, transition } from 'xstate';
-import type { StateChartDefinition } from '../../../base/common/chart';
-import { StateChart } from '../../../base/common/chart';
+import type { StateChartDefinition } from '../../../base/common/stateChart';
+import { StateChart } from '../../../base/common/stateChart';
 
 const folder = join(__dirname, '../../../../charts');
 
