--- a/src/standin/common/cacheEvents.ts
+++ b/src/standin/common/cacheEvents.ts
@@ -1,5 +1,5 @@
 /**
- * The engine's log of what entered and left its prefix cache, published late and with gaps.
+ * A simulated engine's log of prefix cache changes. Events are published with a delay, and some are lost.
  */
 
 import type { IRandom } from '../../base/common/random';
@@ -9,45 +9,45 @@
 	Evicted = 'evicted',
 }
 
-/** One change of the cache. */
+/** A prefix that was stored in the cache or evicted from it. */
 export interface CacheEvent {
-	/** Counts every event, also those that are lost, so that readers can see a gap. */
+	/** Numbers all events, including lost ones, so that readers can detect gaps. */
 	readonly sequence: number;
 	readonly kind: CacheEventKind;
 	readonly prefixKey: string;
 }
 
 interface TimedEvent {
-	readonly atMs: number;
+	readonly recordedAtMs: number;
 	readonly event: CacheEvent;
 }
 
-const mostEvents = 4_096;
-const wholePercent = 100;
+const maxEvents = 4_096;
+const percentScale = 100;
 
-/** Keeps the newest events that were not lost. */
+/** Keeps the most recent events, except those that are lost on purpose. */
 export class CacheEventLog {
 	private readonly events: TimedEvent[] = [];
 	private lastSequence = 0;
 
 	constructor(private readonly random: IRandom) {}
 
-	/** Notes an event; `lossPercent` of them never reach a reader. */
-	note(kind: CacheEventKind, prefixKey: string, nowMs: number, lossPercent: number): void {
+	/** Records an event, or drops it with a probability of `lossPercent`. */
+	record(kind: CacheEventKind, prefixKey: string, nowMs: number, lossPercent: number): void {
 		const sequence = ++this.lastSequence;
-		if (this.random.pickFraction() * wholePercent < lossPercent) {
+		if (this.random.pickFraction() * percentScale < lossPercent) {
 			return;
 		}
-		this.events.push({ atMs: nowMs, event: { sequence, kind, prefixKey } });
-		if (this.events.length > mostEvents) {
+		this.events.push({ recordedAtMs: nowMs, event: { sequence, kind, prefixKey } });
+		if (this.events.length > maxEvents) {
 			this.events.shift();
 		}
 	}
 
-	/** Events after a sequence number that are at least `lagMs` old, oldest first. */
+	/** Lists the events after a sequence number that are at least `lagMs` old, oldest first. */
 	list(afterSequence: number, nowMs: number, lagMs: number): CacheEvent[] {
 		return this.events
-			.filter(({ atMs, event }) => event.sequence > afterSequence && atMs <= nowMs - lagMs)
+			.filter(({ recordedAtMs, event }) => event.sequence > afterSequence && recordedAtMs <= nowMs - lagMs)
 			.map(({ event }) => event);
 	}
 }
--- a/src/standin/common/configStore.ts
+++ b/src/standin/common/configStore.ts
@@ -1,13 +1,14 @@
 /**
- * The configuration service's documents and the watches that wait for them. The store alone gives out
- * versions; a forced version exists for tests of staleness and of two documents with one version.
+ * Versioned documents of the simulated configuration service, and the long polls that wait for a newer version.
+ * Versions are assigned by the store. Tests can force a version to simulate stale documents, or two documents
+ * with the same version.
  */
 
 import type { IDisposable } from '../../base/common/lifecycle';
 import { toDisposable } from '../../base/common/lifecycle';
 import type { ITimerService } from '../../base/common/timerService';
 
-/** A document as it was published, byte for byte. */
+/** A published document. Its bytes are served unchanged. */
 export interface VersionedDocument {
 	readonly version: number;
 	readonly bytes: Buffer | Uint8Array;
@@ -18,9 +19,9 @@
 	finish(document: VersionedDocument | undefined): void;
 }
 
-const mostDocuments = 64;
+const maxDocuments = 64;
 
-/** Keeps the published documents and answers reads and hanging watches. */
+/** Stores the most recent documents and serves reads and long polls. */
 export class ConfigStore {
 	private readonly documents: VersionedDocument[] = [];
 	private readonly watches = new Set<Watch>();
@@ -29,40 +30,43 @@
 
 	constructor(private readonly timers: ITimerService) {}
 
-	/** Publishes a document under the next version, or under a forced one, and gives that version. */
+	/** Publishes a document under the next version or a forced one. Returns the version. */
 	put(bytes: Buffer | Uint8Array, forcedVersion?: number): number {
 		const version = forcedVersion ?? this.highestVersion + 1;
 		this.highestVersion = Math.max(this.highestVersion, version);
 		this.documents.push({ version, bytes });
-		if (this.documents.length > mostDocuments) {
+		if (this.documents.length > maxDocuments) {
 			this.documents.shift();
 		}
 		this.finishWatches();
 		return version;
 	}
 
-	/** Serves nothing newer than this version until it is set to null. */
+	/** Hides all documents that are newer than this version. Null ends the restriction. */
 	setStaleVersion(version: number | null): void {
 		this.staleVersion = version;
 		this.finishWatches();
 	}
 
-	/** The document that readers see now. */
+	/** Returns the last published document that is not hidden by the stale version. */
 	read(): VersionedDocument | undefined {
 		return this.documents.findLast(
 			document => this.staleVersion === null || document.version <= this.staleVersion,
 		);
 	}
 
-	/** Calls back once: with a document newer than `afterVersion`, or with undefined after `waitMs`. */
+	/**
+	 * Calls `finish` once: with a document newer than `afterVersion`, or with undefined after `waitMs`. Disposing
+	 * the result cancels the watch.
+	 */
 	watch(
 		afterVersion: number,
 		waitMs: number,
 		finish: (document: VersionedDocument | undefined) => void,
 	): IDisposable {
-		const present = this.read();
-		if (present !== undefined && present.version > afterVersion) {
-			finish(present);
+		const current = this.read();
+		if (current !== undefined && current.version > afterVersion) {
+			finish(current);
 			return toDisposable(() => undefined);
 		}
 		const timer = this.timers.schedule(waitMs, () => {
@@ -88,11 +92,11 @@
 	}
 
 	private finishWatches(): void {
-		const present = this.read();
+		const current = this.read();
 		for (const watch of [...this.watches]) {
-			if (present !== undefined && present.version > watch.afterVersion) {
+			if (current !== undefined && current.version > watch.afterVersion) {
 				this.watches.delete(watch);
-				watch.finish(present);
+				watch.finish(current);
 			}
 		}
 	}
--- a/src/standin/common/continuousBatch.ts
+++ b/src/standin/common/continuousBatch.ts
@@ -1,7 +1,8 @@
 /**
- * A model engine's continuous batch: sequences share the engine token by token, so each further running
- * sequence makes all of them a little slower; sequences beyond the slots wait, the most urgent class first.
- * A sequence whose reader is slow keeps its slot and makes no tokens meanwhile.
+ * Simulates the continuous batching of a model engine. In each step every running sequence processes a part of its
+ * prompt or generates one token, and a step takes longer the more sequences run. Sequences without a free slot wait,
+ * ordered by request class and then by arrival. A sequence whose client reads slowly keeps its slot but generates no
+ * tokens in the meantime.
  */
 
 import type { IDisposable } from '../../base/common/lifecycle';
@@ -10,33 +11,33 @@
 import type { RequestClass } from '../../core/requests/common/requestClass';
 import { requestClasses } from '../../core/requests/common/requestClass';
 
-/** How long the engine takes, in milliseconds. */
+/** Processing times of the simulated engine, in milliseconds. */
 export interface BatchTiming {
 	readonly tokenMs: number;
 	readonly tokenMsPerRunning: number;
 	readonly prefillMsPerToken: number;
 }
 
-/** What a sequence asks of the engine. */
+/** A sequence to run, with its callbacks. */
 export interface SequenceRequest {
 	readonly requestClass: RequestClass;
 	readonly maxTokens: number;
-	/** Called as the sequence takes a slot; gives the prompt tokens that must be read before the first token. */
+	/** Called when the sequence gets a slot. Returns the number of prompt tokens to process before the first token. */
 	readonly handleStart: () => number;
-	/** Called for each token, counted from 0. */
+	/** Called for each generated token, with an index that starts at 0. */
 	readonly handleToken: (index: number) => void;
 	/** Called once, after the last token. */
 	readonly handleEnd: () => void;
 }
 
-/** A sequence's handle; releasing it cancels the sequence. */
+/** Controls a submitted sequence. Disposing the handle cancels the sequence. */
 export interface SequenceHandle extends IDisposable {
-	/** Whether the sequence holds back its tokens, since its reader has not taken the earlier ones. */
+	/** Pauses token generation while the client has not read the earlier tokens, or resumes it. */
 	setPaused(isPaused: boolean): void;
 }
 
-/** Running and waiting sequences. */
-export interface BatchLoad {
+/** The load of a target: its running and waiting requests and its slots. */
+export interface TargetLoad {
 	readonly running: number;
 	readonly waiting: number;
 	readonly slots: number;
@@ -45,22 +46,24 @@
 interface Sequence {
 	readonly request: SequenceRequest;
 	readonly sequenceNumber: number;
-	prefillMs: number;
+	remainingPrefillMs: number;
+	/** Number of tokens generated so far. */
 	tokens: number;
 	isPaused: boolean;
 }
 
-function compareWaiting(left: Sequence, right: Sequence): number {
+function comparePriority(left: Sequence, right: Sequence): number {
 	const byClass =
 		requestClasses.indexOf(left.request.requestClass) - requestClasses.indexOf(right.request.requestClass);
 	return byClass || left.sequenceNumber - right.sequenceNumber;
 }
 
-/** Runs sequences on the timer service's clock. */
+/** Runs sequences in steps that are scheduled on the timer service. */
 export class ContinuousBatch implements IDisposable {
 	private readonly running = new Set<Sequence>();
 	private waiting: Sequence[] = [];
-	private nextNumber = 0;
+	private nextSequenceNumber = 0;
+	/** The scheduled end of the current step. */
 	private step: IDisposable | undefined;
 	private slowFactor = 1;
 
@@ -68,15 +71,15 @@
 		private readonly slots: number,
 		private readonly timing: BatchTiming,
 		private readonly timers: ITimerService,
-		/** Called after every change of the numbers running and waiting. */
-		private readonly onLoad: (load: BatchLoad) => void = () => undefined,
+		/** Called after each change of the number of running or waiting sequences. */
+		private readonly onDidChangeLoad: (load: TargetLoad) => void = () => undefined,
 	) {}
 
-	getLoad(): BatchLoad {
+	getLoad(): TargetLoad {
 		return { running: this.running.size, waiting: this.waiting.length, slots: this.slots };
 	}
 
-	/** Multiplies every time from the next step on. */
+	/** Multiplies the duration of all later steps. */
 	setSlowFactor(factor: number): void {
 		this.slowFactor = factor;
 	}
@@ -84,14 +87,14 @@
 	submit(request: SequenceRequest): SequenceHandle {
 		const sequence: Sequence = {
 			request,
-			sequenceNumber: this.nextNumber++,
-			prefillMs: 0,
+			sequenceNumber: this.nextSequenceNumber++,
+			remainingPrefillMs: 0,
 			tokens: 0,
 			isPaused: false,
 		};
 		this.waiting.push(sequence);
-		this.waiting.sort(compareWaiting);
-		this.startWaiting();
+		this.waiting.sort(comparePriority);
+		this.admitWaiting();
 		const cancellation = toDisposable(() => {
 			this.removeSequence(sequence);
 		});
@@ -106,35 +109,38 @@
 		};
 	}
 
-	/** Drops every sequence without a word to its owner. */
+	/** Removes all sequences without calling their callbacks. */
 	dispose(): void {
 		this.step?.dispose();
 		this.step = undefined;
 		this.running.clear();
 		this.waiting = [];
-		this.onLoad(this.getLoad());
+		this.onDidChangeLoad(this.getLoad());
 	}
 
-	private startWaiting(): void {
+	private admitWaiting(): void {
 		while (this.running.size < this.slots) {
 			const next = this.waiting.shift();
 			if (next === undefined) {
 				break;
 			}
-			next.prefillMs = next.request.handleStart() * this.timing.prefillMsPerToken;
+			next.remainingPrefillMs = next.request.handleStart() * this.timing.prefillMsPerToken;
 			this.running.add(next);
 		}
-		this.onLoad(this.getLoad());
+		this.onDidChangeLoad(this.getLoad());
 		this.scheduleStep();
 	}
 
 	private removeSequence(sequence: Sequence): void {
 		this.waiting = this.waiting.filter(other => other !== sequence);
 		this.running.delete(sequence);
-		this.startWaiting();
+		this.admitWaiting();
 	}
 
-	/** One step is under way while any running sequence can make a token; who joins meanwhile waits for its end. */
+	/**
+	 * Schedules the next step, unless one is already scheduled or no running sequence can generate a token. A
+	 * sequence that gets a slot during a step takes part from the next step on.
+	 */
 	private scheduleStep(): void {
 		const members = [...this.running].filter(sequence => !sequence.isPaused);
 		if (this.step !== undefined || members.length === 0) {
@@ -146,7 +152,7 @@
 			for (const sequence of members) {
 				this.advanceSequence(sequence, stepMs);
 			}
-			this.startWaiting();
+			this.admitWaiting();
 		});
 	}
 
@@ -154,8 +160,8 @@
 		if (sequence.isPaused || !this.running.has(sequence)) {
 			return;
 		}
-		if (sequence.prefillMs > 0) {
-			sequence.prefillMs -= stepMs;
+		if (sequence.remainingPrefillMs > 0) {
+			sequence.remainingPrefillMs -= stepMs;
 			return;
 		}
 		if (sequence.tokens < sequence.request.maxTokens) {
--- a/src/standin/common/delayLine.ts
+++ b/src/standin/common/delayLine.ts
@@ -1,35 +1,35 @@
 /**
- * One direction of one connection over a link: pieces come out in the order in which they went in, after
- * their turn on the shared bandwidth and the link's delay. A held line keeps its pieces, as a sender's
- * operating system keeps what is not acknowledged.
+ * One direction of a connection over a simulated link. Items are delivered in the order in which they were
+ * pushed, after the time for their transfer over the shared bandwidth and the one-way delay of the link. While
+ * the line is paused it keeps its items, as the operating system of a sender keeps unacknowledged data.
  */
 
 import type { IDisposable } from '../../base/common/lifecycle';
 import type { ITimerService } from '../../base/common/timerService';
-import type { SharedRate } from './sharedRate';
+import type { SharedBandwidth } from './sharedRate';
 
-interface Piece<TItem> {
+interface QueuedItem<TItem> {
 	readonly dueMs: number;
 	readonly bytes: number;
 	readonly item: TItem;
 }
 
-/** Delays items and gives them out in order. */
+/** Delays items and delivers them in order. */
 export class DelayLine<TItem> implements IDisposable {
-	private readonly pieces: Piece<TItem>[] = [];
+	private readonly queue: QueuedItem<TItem>[] = [];
 	private timer: IDisposable | undefined;
-	private isHeld = false;
+	private isPaused = false;
 	private isDisposed = false;
 	private queuedBytes = 0;
 
 	constructor(
-		private readonly rate: SharedRate,
+		private readonly rate: SharedBandwidth,
 		private readonly timers: ITimerService,
 		private readonly getOneWayMs: () => number,
 		private readonly deliver: (item: TItem) => void,
 	) {}
 
-	/** Bytes on their way. */
+	/** Returns the number of bytes that were pushed but not delivered yet. */
 	getQueuedBytes(): number {
 		return this.queuedBytes;
 	}
@@ -40,32 +40,32 @@
 		}
 		const nowMs = this.timers.getNow();
 		const dueMs = nowMs + this.rate.reserve(bytes, nowMs) + this.getOneWayMs();
-		this.pieces.push({ dueMs, bytes, item });
+		this.queue.push({ dueMs, bytes, item });
 		this.queuedBytes += bytes;
 		this.scheduleNext();
 	}
 
-	setHeld(isHeld: boolean): void {
-		this.isHeld = isHeld;
-		if (isHeld) {
+	setPaused(isPaused: boolean): void {
+		this.isPaused = isPaused;
+		if (isPaused) {
 			this.timer?.dispose();
 			this.timer = undefined;
 		}
 		this.scheduleNext();
 	}
 
-	/** Drops what is on its way. */
+	/** Discards all queued items. Items that are pushed later are ignored. */
 	dispose(): void {
 		this.isDisposed = true;
 		this.timer?.dispose();
 		this.timer = undefined;
-		this.pieces.length = 0;
+		this.queue.length = 0;
 		this.queuedBytes = 0;
 	}
 
 	private scheduleNext(): void {
-		const next = this.pieces[0];
-		if (next === undefined || this.isHeld || this.timer !== undefined) {
+		const next = this.queue[0];
+		if (next === undefined || this.isPaused || this.timer !== undefined) {
 			return;
 		}
 		this.timer = this.timers.schedule(next.dueMs - this.timers.getNow(), () => {
@@ -76,11 +76,11 @@
 
 	private emitDue(): void {
 		const nowMs = this.timers.getNow();
-		for (let next = this.pieces[0]; next !== undefined; next = this.pieces[0]) {
-			if (this.isHeld || next.dueMs > nowMs) {
+		for (let next = this.queue[0]; next !== undefined; next = this.queue[0]) {
+			if (this.isPaused || next.dueMs > nowMs) {
 				break;
 			}
-			this.pieces.shift();
+			this.queue.shift();
 			this.queuedBytes -= next.bytes;
 			this.deliver(next.item);
 		}
--- a/src/standin/common/engineFaults.ts
+++ b/src/standin/common/engineFaults.ts
@@ -1,45 +1,45 @@
 /**
- * The fault switches of a model engine. docs/PLATFORM.md tells each.
+ * The fault switches of a simulated model engine. docs/PLATFORM.md describes each of them.
  */
 
 import { z } from 'zod';
-import { noTargetFaults, switchMs, targetFaultsSchema } from './targetFaults';
+import { noTargetFaults, durationMsSchema, targetFaultsSchema } from './targetFaults';
 
-/** How an engine treats the orders it is given. */
-export enum OrderManner {
-	/** As its fencing says. */
+/** How an engine handles orders to change its model, version, adapters or role. */
+export enum OrderHandling {
+	/** Applies orders, subject to its check of fencing numbers. */
 	Obey = 'obey',
-	/** Answers 503 and does nothing. */
+	/** Answers with status 503 and does nothing. */
 	Refuse = 'refuse',
-	/** Answers 200 and does nothing. */
+	/** Answers with status 200 and does nothing. */
 	Ignore = 'ignore',
 }
 
-const wholePercent = 100;
+const maxPercent = 100;
 
 export const engineFaultsSchema = z.strictObject({
 	...targetFaultsSchema.shape,
-	orders: z.enum(OrderManner),
-	/** Time before an order is answered and obeyed, in milliseconds. */
-	orderDelayMs: switchMs,
-	/** Age at which cache events are published, in milliseconds. */
-	cacheEventLagMs: switchMs,
-	/** Share of cache events that are lost. */
-	cacheEventLossPercent: z.number().min(0).max(wholePercent),
+	orders: z.enum(OrderHandling),
+	/** Delay before an order is handled and answered, in milliseconds. */
+	orderDelayMs: durationMsSchema,
+	/** Delay before cache events are published, in milliseconds. */
+	cacheEventLagMs: durationMsSchema,
+	/** Percentage of cache events that are lost. */
+	cacheEventLossPercent: z.number().min(0).max(maxPercent),
 });
 
 export type EngineFaults = z.output<typeof engineFaultsSchema>;
 
-const everydayEventLagMs = 500;
-const everydayLossPercent = 1;
-const everydayLoadLagMs = 200;
+const defaultEventLagMs = 500;
+const defaultEventLossPercent = 1;
+const defaultLoadLagMs = 200;
 
-/** No fault; load reports and cache events have their everyday lag and gaps. */
+/** No faults. Load reports still lag, and cache events still lag and get lost, as in normal operation. */
 export const noEngineFaults: EngineFaults = {
 	...noTargetFaults,
-	loadLagMs: everydayLoadLagMs,
-	orders: OrderManner.Obey,
+	loadLagMs: defaultLoadLagMs,
+	orders: OrderHandling.Obey,
 	orderDelayMs: 0,
-	cacheEventLagMs: everydayEventLagMs,
-	cacheEventLossPercent: everydayLossPercent,
+	cacheEventLagMs: defaultEventLagMs,
+	cacheEventLossPercent: defaultEventLossPercent,
 };
--- a/src/standin/common/engineOrders.ts
+++ b/src/standin/common/engineOrders.ts
@@ -1,11 +1,11 @@
 /**
- * The engine's answer to orders: which it obeys, what it holds, and what it is loading. Some engines refuse
- * an order that carries an older fencing number than one they have obeyed; others obey anything.
+ * Handles orders to change the model, version, adapters or role of a simulated engine. Some engines refuse an order
+ * whose fencing number is lower than that of the last order they applied. Other engines apply every order.
  */
 
 import { z } from 'zod';
 
-/** An order as it arrives; the fencing number orders them, where the engine checks it. */
+/** The body of an order. Engines that check fencing numbers use `fence` to refuse outdated orders. */
 export const engineOrderSchema = z.strictObject({
 	fence: z.number().int().min(0),
 	model: z.string().min(1),
@@ -16,40 +16,40 @@
 
 export type EngineOrder = z.output<typeof engineOrderSchema>;
 
-/** What the engine says of itself. */
+/** The state that an engine reports. */
 export interface EngineOrderState {
 	readonly model: string | undefined;
 	readonly version: string | undefined;
 	readonly adapters: readonly string[];
 	readonly role: string;
-	/** Fencing number of the last order that was obeyed. */
+	/** Fencing number of the last order that was applied. */
 	readonly fence: number | undefined;
-	/** Whether weights of the model named here are still being loaded. */
+	/** Whether the weights of this model and version are still being loaded. */
 	readonly loading: boolean;
 }
 
-/** What an order led to. */
+/** The result of an order. */
 export enum OrderVerdict {
-	/** Obeyed; nothing had to be loaded. */
+	/** Applied. No weights had to be loaded. */
 	Applied = 'applied',
-	/** Obeyed; the weights are now being loaded. */
+	/** Applied. The loading of weights has started. */
 	LoadStarted = 'load-started',
-	/** Refused: the engine has obeyed a newer fencing number. */
+	/** Refused, since the engine has applied an order with a higher fencing number. */
 	Superseded = 'superseded',
 }
 
-/** Counts of orders. */
+/** Counters of orders since the start. */
 export interface OrderCounters {
 	obeyed: number;
 	superseded: number;
-	/** Obeyed although a newer fencing number had been obeyed before. */
+	/** Orders applied although the order before had a higher fencing number. */
 	obeyedOlder: number;
 	loads: number;
 }
 
-/** Decides on orders; the caller carries out the load and reports its end. */
-export class EngineOrderDesk {
-	private loadNumber = 0;
+/** Decides whether to apply an order. The caller loads the weights and reports the end of the load. */
+export class EngineOrderProcessor {
+	private latestLoadId = 0;
 	private readonly counters: OrderCounters = { obeyed: 0, superseded: 0, obeyedOlder: 0, loads: 0 };
 
 	constructor(
@@ -73,28 +73,28 @@
 		}
 		this.counters.obeyed++;
 		this.counters.obeyedOlder += isOlder ? 1 : 0;
-		const needsLoad = this.hasOtherWeights(order);
+		const needsLoad = this.isWeightLoadNeeded(order);
 		this.state = { ...order, loading: needsLoad || this.state.loading };
 		if (!needsLoad) {
 			return OrderVerdict.Applied;
 		}
-		this.loadNumber++;
+		this.latestLoadId++;
 		this.counters.loads++;
 		return OrderVerdict.LoadStarted;
 	}
 
-	/** Names the load that was started last; the end of an earlier one changes nothing. */
-	getLoadNumber(): number {
-		return this.loadNumber;
+	/** Returns the ID of the load that was started last. `finishLoad` ignores the IDs of earlier loads. */
+	getLatestLoadId(): number {
+		return this.latestLoadId;
 	}
 
-	finishLoad(loadNumber: number): void {
-		if (loadNumber === this.loadNumber) {
+	finishLoad(loadId: number): void {
+		if (loadId === this.latestLoadId) {
 			this.state = { ...this.state, loading: false };
 		}
 	}
 
-	private hasOtherWeights(order: EngineOrder): boolean {
+	private isWeightLoadNeeded(order: EngineOrder): boolean {
 		const { model, version, adapters } = this.state;
 		const hasAdapters = order.adapters.every(adapter => adapters.includes(adapter));
 		return order.model !== model || order.version !== version || !hasAdapters;
--- a/src/standin/common/instanceList.ts
+++ b/src/standin/common/instanceList.ts
@@ -1,10 +1,10 @@
 /**
- * The platform's list of instances, as it is published and as the directory for clients is made from it.
+ * The platform's list of instances, and the directory for clients that is derived from it.
  */
 
 import { z } from 'zod';
 
-/** What the platform says of an instance. */
+/** The state of an instance in the platform's list. */
 export enum InstanceState {
 	Live = 'live',
 	Leaving = 'leaving',
@@ -21,7 +21,7 @@
 });
 
 const targetSchema = z.strictObject({
-	/** As the manifest names it. */
+	/** The ID of the target in the manifest. */
 	id: z.string().min(1),
 	kind: z.literal('target'),
 	boot: z.string().min(1).optional(),
@@ -34,14 +34,14 @@
 
 export type InstanceList = z.output<typeof instanceListSchema>;
 
-/** One entry as clients find it. */
+/** The address and location of an entry, as listed in the directory. */
 export interface DirectoryEntry {
 	readonly url: string;
 	readonly region: string;
 	readonly zone: string;
 }
 
-/** What clients see: the live entries and where they stand. */
+/** Lists the live entries with their region and zone. Targets and leaving entries are omitted. */
 export function listDirectoryEntries(list: InstanceList): DirectoryEntry[] {
 	return list.instances
 		.filter(instance => instance.kind === 'entry')
--- a/src/standin/common/laggedValue.ts
+++ b/src/standin/common/laggedValue.ts
@@ -1,45 +1,46 @@
 /**
- * A value that its readers see some time after it changed, as with load reports and instance lists.
+ * A value whose changes become visible to readers after a delay. It simulates late load reports.
  */
 
 interface TimedValue<TValue> {
-	readonly atMs: number;
+	readonly changedAtMs: number;
 	readonly value: TValue;
 }
 
-const mostKept = 4_096;
+const maxChanges = 4_096;
 
-/** Keeps the changes of a value long enough to show what it was a while ago. */
+/** Keeps recent changes of a value, so that its value at an earlier time can be read. */
 export class LaggedValue<TValue> {
-	/** The newest value that every reader sees, and the changes after it, oldest first. */
-	private oldest: TValue;
+	/** The value before the first of `changes`. */
+	private baseValue: TValue;
+	/** Oldest first. */
 	private readonly changes: TimedValue<TValue>[] = [];
 
 	constructor(
 		initial: TValue,
-		/** How old the oldest change is that a reader may still ask for, in milliseconds. */
-		private readonly largestLagMs: number,
+		/** The longest lag that readers can request, in milliseconds. */
+		private readonly maxLagMs: number,
 	) {
-		this.oldest = initial;
+		this.baseValue = initial;
 	}
 
 	set(value: TValue, nowMs: number): void {
-		this.changes.push({ atMs: nowMs, value });
-		this.removeUnreachable(nowMs);
+		this.changes.push({ changedAtMs: nowMs, value });
+		this.removeExpiredChanges(nowMs);
 	}
 
-	/** The value as it was `lagMs` before `nowMs`. */
+	/** Returns the value that was current `lagMs` before `nowMs`. */
 	get(nowMs: number, lagMs: number): TValue {
-		const sinceMs = nowMs - lagMs;
-		return this.changes.findLast(change => change.atMs <= sinceMs)?.value ?? this.oldest;
+		const readAtMs = nowMs - lagMs;
+		return this.changes.findLast(change => change.changedAtMs <= readAtMs)?.value ?? this.baseValue;
 	}
 
-	private removeUnreachable(nowMs: number): void {
+	private removeExpiredChanges(nowMs: number): void {
 		for (let next = this.changes[0]; next !== undefined; next = this.changes[0]) {
-			if (next.atMs > nowMs - this.largestLagMs && this.changes.length <= mostKept) {
+			if (next.changedAtMs > nowMs - this.maxLagMs && this.changes.length <= maxChanges) {
 				break;
 			}
-			this.oldest = next.value;
+			this.baseValue = next.value;
 			this.changes.shift();
 		}
 	}
--- a/src/standin/common/linkFaults.ts
+++ b/src/standin/common/linkFaults.ts
@@ -1,26 +1,29 @@
 /**
- * The fault switches of a link. docs/PLATFORM.md tells each.
+ * The fault switches of a simulated network link. docs/PLATFORM.md describes each of them.
  */
 
 import { z } from 'zod';
 
-const largestOneWayMs = 60_000;
+const maxOneWayMs = 60_000;
 
-/** How a link is cut. */
+/** How a link is interrupted. */
 export enum LinkCut {
 	None = 'none',
-	/** Nothing passes and nobody is told; what waits passes once the link is whole again. */
+	/** Data is held back without any error, and is delivered when the fault ends. */
 	BlackHole = 'black-hole',
-	/** Open connections are reset and new ones refused. */
+	/** Open connections are reset, and new ones are reset as soon as they are accepted. */
 	Reset = 'reset',
 }
 
 export const linkFaultsSchema = z.strictObject({
 	cut: z.enum(LinkCut),
-	/** Each patch that sets it silences, for good, the connections open at that moment; new ones work. */
+	/**
+	 * Each patch that sets this switch to true drops all later data of the connections that are open at that moment.
+	 * Connections that are opened later work.
+	 */
 	silenceOpen: z.boolean(),
-	/** Delay each way, in milliseconds. */
-	oneWayMs: z.number().min(0).max(largestOneWayMs),
+	/** Delay in each direction, in milliseconds. */
+	oneWayMs: z.number().min(0).max(maxOneWayMs),
 });
 
 export type LinkFaults = z.output<typeof linkFaultsSchema>;
--- a/src/standin/common/plainFaults.ts
+++ b/src/standin/common/plainFaults.ts
@@ -1,19 +1,19 @@
 /**
- * The fault switches of a plain service. docs/PLATFORM.md tells each.
+ * The fault switches of a simulated plain service. docs/PLATFORM.md describes each of them.
  */
 
 import { z } from 'zod';
-import { noTargetFaults, switchMs, targetFaultsSchema } from './targetFaults';
+import { noTargetFaults, durationMsSchema, targetFaultsSchema } from './targetFaults';
 
 export const plainFaultsSchema = z.strictObject({
 	...targetFaultsSchema.shape,
-	/** Time that a run takes, in milliseconds. */
-	workMs: switchMs,
+	/** Processing time of a call, in milliseconds. */
+	workMs: durationMsSchema,
 });
 
 export type PlainFaults = z.output<typeof plainFaultsSchema>;
 
-/** No fault. */
+/** No faults. */
 export function createPlainFaults(workMs: number): PlainFaults {
 	return { ...noTargetFaults, workMs };
 }
--- a/src/standin/common/platformFaults.ts
+++ b/src/standin/common/platformFaults.ts
@@ -1,26 +1,26 @@
 /**
- * The fault switches of the platform. docs/PLATFORM.md tells each.
+ * The fault switches of the simulated platform. docs/PLATFORM.md describes each of them.
  */
 
 import { z } from 'zod';
-import { switchMs } from './targetFaults';
+import { durationMsSchema } from './targetFaults';
 
 export const platformFaultsSchema = z.strictObject({
-	/** Resets every connection, open and new. */
+	/** Resets all open connections, and later connections at their first request. */
 	down: z.boolean(),
-	/** Takes requests and never answers them. */
+	/** Accepts requests and never answers them. */
 	silent: z.boolean(),
 	/** Serves no manifest newer than this version. */
 	staleVersion: z.number().int().min(0).nullable(),
-	/** Age of the instance list that is served, in milliseconds. */
-	lagMs: switchMs,
-	/** Weight store: answers every load with 503. */
+	/** Delay before a published instance list is served, in milliseconds. */
+	lagMs: durationMsSchema,
+	/** Makes the weight store answer all downloads with status 503. */
 	weightsDown: z.boolean(),
 });
 
 export type PlatformFaults = z.output<typeof platformFaultsSchema>;
 
-/** No fault; the instance list has its everyday lag. */
+/** No faults. The instance list has its configured lag. */
 export function createPlatformFaults(lagMs: number): PlatformFaults {
 	return { down: false, silent: false, staleVersion: null, lagMs, weightsDown: false };
 }
--- a/src/standin/common/platformReadCounts.ts
+++ b/src/standin/common/platformReadCounts.ts
@@ -1,27 +1,27 @@
 /**
- * How often each kind of document was read from the platform.
+ * Counts how often each kind of document was read from the platform.
  */
 
-/** The kinds of reads that count against the budget. */
-export enum PlatformRead {
+/** The kinds of reads from the platform. */
+export enum PlatformReadKind {
 	Manifest = 'manifest',
 	Instances = 'instances',
 	Directory = 'directory',
 }
 
-/** Counts the reads of each kind since the start. */
+/** Counts reads by kind since the start. */
 export class PlatformReadCounts {
-	private readonly counts: Record<PlatformRead, number> = {
-		[PlatformRead.Manifest]: 0,
-		[PlatformRead.Instances]: 0,
-		[PlatformRead.Directory]: 0,
+	private readonly counts: Record<PlatformReadKind, number> = {
+		[PlatformReadKind.Manifest]: 0,
+		[PlatformReadKind.Instances]: 0,
+		[PlatformReadKind.Directory]: 0,
 	};
 
-	note(read: PlatformRead): void {
-		this.counts[read]++;
+	record(kind: PlatformReadKind): void {
+		this.counts[kind]++;
 	}
 
-	get(): Readonly<Record<PlatformRead, number>> {
+	get(): Readonly<Record<PlatformReadKind, number>> {
 		return { ...this.counts };
 	}
 }
--- a/src/standin/common/prefixCache.ts
+++ b/src/standin/common/prefixCache.ts
@@ -1,18 +1,18 @@
 /**
- * The engine's cache of prompt prefixes, limited by the tokens it holds; the prefix that was used least
- * lately makes room.
+ * Simulates an engine's cache of prompt prefixes. Its capacity is a number of tokens, and the least recently used
+ * prefix is evicted first.
  */
 
 import { LRUCache } from 'lru-cache';
 
-/** Counts of the cache's work. */
+/** Hits and misses since the start, and the current size. */
 export interface PrefixCacheCounters {
 	readonly hits: number;
 	readonly misses: number;
 	readonly tokensHeld: number;
 }
 
-/** Remembers how many tokens of each prefix have been read. */
+/** Stores the number of processed tokens of each prefix. */
 export class PrefixCache {
 	private readonly prefixes: LRUCache<string, number> | undefined;
 	private hits = 0;
@@ -20,8 +20,8 @@
 
 	constructor(
 		private readonly capacityTokens: number,
-		private readonly onStored: (prefixKey: string) => void,
-		private readonly onEvicted: (prefixKey: string) => void,
+		private readonly onDidStore: (prefixKey: string) => void,
+		private readonly onDidEvict: (prefixKey: string) => void,
 	) {
 		if (capacityTokens > 0) {
 			this.prefixes = new LRUCache<string, number>({
@@ -29,15 +29,18 @@
 				sizeCalculation: tokens => tokens,
 				dispose: (_tokens, prefixKey, reason) => {
 					if (reason === 'evict') {
-						this.onEvicted(prefixKey);
+						this.onDidEvict(prefixKey);
 					}
 				},
 			});
 		}
 	}
 
-	/** Uses a prefix and gives the tokens of it that need not be read again. */
-	take(prefixKey: string, prefixTokens: number): number {
+	/**
+	 * Looks up a prefix, and stores it if it is longer than the cached one and fits the capacity. Returns the number
+	 * of its tokens that were cached before.
+	 */
+	recordUse(prefixKey: string, prefixTokens: number): number {
 		const heldTokens = this.prefixes?.get(prefixKey) ?? 0;
 		if (heldTokens > 0) {
 			this.hits++;
@@ -46,7 +49,7 @@
 		}
 		if (prefixTokens > heldTokens && prefixTokens <= this.capacityTokens) {
 			this.prefixes?.set(prefixKey, prefixTokens);
-			this.onStored(prefixKey);
+			this.onDidStore(prefixKey);
 		}
 		return Math.min(heldTokens, prefixTokens);
 	}
--- a/src/standin/common/readBudget.ts
+++ b/src/standin/common/readBudget.ts
@@ -1,11 +1,11 @@
 /**
- * The configuration service's limit on reads: each call counts, a waiting watch as one.
+ * The limit on reads from the simulated configuration service. Each request counts as one read, also a long poll.
  */
 
 const windowMs = 1_000;
 
-/** Counts the reads of each second and refuses those over the limit. */
-export class ReadBudget {
+/** Counts reads in windows of one second and refuses those over the limit. */
+export class ReadRateLimiter {
 	private windowStartMs = Number.NEGATIVE_INFINITY;
 	private readsInWindow = 0;
 	private peakReads = 0;
@@ -13,7 +13,7 @@
 
 	constructor(private readonly readsPerSecond: number) {}
 
-	/** Counts one read; undefined lets it pass, else it is the milliseconds until the next second begins. */
+	/** Counts a read. Returns undefined if it is admitted, otherwise the milliseconds until the window ends. */
 	take(nowMs: number): number | undefined {
 		if (nowMs - this.windowStartMs >= windowMs) {
 			this.windowStartMs = nowMs;
@@ -28,8 +28,8 @@
 		return this.windowStartMs + windowMs - nowMs;
 	}
 
-	/** The most reads that arrived in one second, refused ones included. */
-	getPeakReads(): number {
+	/** Returns the highest number of reads in one window, including refused reads. */
+	getPeakReadsPerSecond(): number {
 		return this.peakReads;
 	}
 
--- a/src/standin/common/runLedger.ts
+++ b/src/standin/common/runLedger.ts
@@ -1,28 +1,28 @@
 /**
- * What a plain service ran: one record for each run, kept by the caller's own id of the call, so that a
- * test can see a call that ran twice whatever the system sent along with it.
+ * Records each run of a call by a plain service. The key is the call ID that the caller chose, so that tests detect
+ * a call that ran twice even if the gateway sent it under different attempt or request IDs.
  */
 
-/** One run of a call. */
+/** A run of a call. */
 export interface CallRun {
-	/** The attempt under which the system sent it. */
+	/** The attempt ID that the gateway sent with the call. */
 	readonly attempt: string | undefined;
 	readonly requestId: string | undefined;
 }
 
-/** All runs of one call. */
+/** All runs of a call. */
 export interface CallRecord {
 	readonly callId: string;
 	readonly runs: readonly CallRun[];
 }
 
-/** Counts runs; a run counts from its start, whatever becomes of its answer. */
-export class RunLedger {
+/** Counts runs by call. A run counts from its start, whether or not its answer is delivered. */
+export class RunLog {
 	private readonly runsByCall = new Map<string, CallRun[]>();
 	private runs = 0;
 
-	/** Notes the start of a run and gives how often the call has been run with it. */
-	note(callId: string, run: CallRun): number {
+	/** Records the start of a run. Returns the number of runs of this call so far. */
+	record(callId: string, run: CallRun): number {
 		const runs = this.runsByCall.get(callId) ?? [];
 		runs.push(run);
 		this.runsByCall.set(callId, runs);
@@ -38,8 +38,8 @@
 		return this.runs;
 	}
 
-	/** Calls that ran more than once. */
-	countRepeated(): number {
+	/** Counts the calls that ran more than once. */
+	countRepeatedCalls(): number {
 		return [...this.runsByCall.values()].filter(runs => runs.length > 1).length;
 	}
 }
--- a/src/standin/common/seededBytes.ts
+++ b/src/standin/common/seededBytes.ts
@@ -1,5 +1,5 @@
 /**
- * A stream of bytes that depends on nothing but its seed, so that a reader can check each of them.
+ * A pseudo-random byte stream that depends only on its seed, so that a client can verify each byte.
  */
 
 import type { IRandom } from '../../base/common/random';
@@ -7,7 +7,7 @@
 
 const byteValues = 256;
 
-/** Gives the bytes of a seed in order. */
+/** Generates the bytes for a seed in order. */
 export class SeededBytes {
 	private readonly random: IRandom;
 
--- a/src/standin/common/standinSettings.ts
+++ b/src/standin/common/standinSettings.ts
@@ -1,5 +1,5 @@
 /**
- * The settings of `anvilroad-standin`: one section for each stand-in that the process hosts.
+ * The settings of `anvilroad-standin`: one section for the admin port and one for each stand-in in the process.
  */
 
 import { z } from 'zod';
@@ -10,10 +10,10 @@
 	yesOrNo,
 } from '../../core/settings/common/settingsTypes';
 
-const mostBytesPerSecond = 10_000_000_000;
-const mostMs = 3_600_000;
+const maxBytesPerSecond = 10_000_000_000;
+const maxDurationMs = 3_600_000;
 
-/** INI nests sections at dots, so a stand-in's name holds none. */
+/** The INI parser treats a dot in a section name as nesting, so names must not contain dots. */
 const standinName = z
 	.string()
 	.regex(/^[a-z0-9][a-z0-9-]{0,62}$/, 'a name of lower-case letters, digits and hyphens');
@@ -25,52 +25,52 @@
 
 const platformSection = z.strictObject({
 	listen: listenAddress,
-	/** Reads of configuration, instance list and directory that are answered in one second. */
+	/** Maximum reads of manifest, instance list and directory per second. Further reads are refused. */
 	reads_per_second: createWholeNumber(1, 1_000_000).default(2_000),
-	/** Output of the weight store, shared by all loads. */
-	weights_bytes_per_second: createWholeNumber(1, mostBytesPerSecond).default(50_000_000),
-	instances_lag_ms: createWholeNumber(0, mostMs).default(1_000),
+	/** Bandwidth of the weight store, shared by all downloads. */
+	weights_bytes_per_second: createWholeNumber(1, maxBytesPerSecond).default(50_000_000),
+	instances_lag_ms: createWholeNumber(0, maxDurationMs).default(1_000),
 });
 
 const engineSection = z.strictObject({
 	listen: listenAddress,
-	/** Requests that run together. */
+	/** Maximum number of requests that run concurrently. */
 	slots: createWholeNumber(1, 1_024).default(8),
-	/** Requests that may wait for a slot; more are refused unrun. */
+	/** Maximum number of requests that wait for a slot. Further requests are refused without running them. */
 	max_waiting: createWholeNumber(0, 100_000).default(1_000),
-	/** Time between two tokens of a request that runs alone. */
+	/** Time between two tokens while a single request runs. */
 	token_ms: decimal.default(10),
-	/** What each further running request adds to that time. */
+	/** Added to `token_ms` for each further running request. */
 	token_ms_per_running: decimal.default(1),
-	/** Time to read a thousand prompt tokens that the prefix cache does not hold. */
+	/** Time to process 1000 prompt tokens that are not in the prefix cache. */
 	prefill_ms_per_1000_tokens: decimal.default(100),
-	/** Prompt tokens that the prefix cache holds. */
+	/** Capacity of the prefix cache in prompt tokens. 0 disables the cache. */
 	cache_tokens: createWholeNumber(0, 1_000_000_000).default(100_000),
-	/** Whether an order with an older fencing number is refused. */
+	/** Whether orders with a lower fencing number than that of the last applied order are refused. */
 	fencing: yesOrNo.default(true),
-	/** What the engine serves when it starts. */
+	/** The model that the engine serves at start. */
 	model: z.string().min(1, 'the name of a model').optional(),
 	version: z.string().min(1, 'the version of the model').optional(),
-	/** Where weights are loaded from; without it a load takes `load_ms` alone. */
+	/** Origin of the weight store. Without it nothing is downloaded, and a load takes only `load_ms`. */
 	weights_url: originUrl.optional(),
-	/** Bytes of weights that a change of model or version loads. */
+	/** Size of the download for a change of model, version or adapters. */
 	load_bytes: createWholeNumber(1, 100_000_000_000).default(1_000_000),
-	/** Time of a load beyond its transfer. */
-	load_ms: createWholeNumber(0, mostMs).default(100),
+	/** Duration of a load after its download. */
+	load_ms: createWholeNumber(0, maxDurationMs).default(100),
 });
 
 const plainSection = z.strictObject({
 	listen: listenAddress,
-	/** Calls that run together; more wait in the order of their arrival. */
+	/** Maximum number of calls that run concurrently. Further calls wait in order of arrival. */
 	slots: createWholeNumber(1, 10_000).default(8),
-	work_ms: createWholeNumber(0, mostMs).default(5),
+	work_ms: createWholeNumber(0, maxDurationMs).default(5),
 });
 
 const linkSection = z.strictObject({
 	listen: listenAddress,
 	to: listenAddress,
 	one_way_ms: decimal.default(0),
-	/** Bandwidth of each direction, shared by all connections. */
+	/** Bandwidth in each direction, shared by all connections. */
 	megabits_per_second: decimal.refine(value => value > 0, 'a number above 0').default(100),
 });
 
@@ -79,7 +79,7 @@
 export type PlainSection = z.output<typeof plainSection>;
 export type LinkSection = z.output<typeof linkSection>;
 
-/** The admin port's name for the platform; no other stand-in may have it. */
+/** The name of the platform on the admin port. Other stand-ins cannot use it. */
 export const platformName = 'platform';
 
 const sectionsSchema = z.strictObject({
@@ -90,7 +90,7 @@
 	link: z.record(standinName, linkSection).default({}),
 });
 
-/** All stand-ins of a process share one space of names, since the admin port addresses them by name. */
+/** Names must be unique across all kinds of stand-ins, since the admin port addresses stand-ins by name. */
 export const standinSettingsSchema = sectionsSchema.superRefine((settings, context) => {
 	const taken = new Set([platformName]);
 	for (const kind of ['engine', 'plain', 'link'] as const) {
@@ -99,7 +99,7 @@
 				context.addIssue({
 					code: 'custom',
 					path: [kind, name],
-					message: 'a name that no other stand-in of the file has',
+					message: 'a name that no other stand-in in the file uses',
 				});
 			}
 			taken.add(name);
--- a/src/standin/common/targetFaults.ts
+++ b/src/standin/common/targetFaults.ts
@@ -1,33 +1,33 @@
 /**
- * The fault switches that model engines and plain services have in common. docs/PLATFORM.md tells each.
+ * The fault switches that simulated model engines and plain services share. docs/PLATFORM.md describes each of them.
  */
 
 import { z } from 'zod';
 
-/** A length of time in a switch, in milliseconds. */
-export const switchMs = z.number().int().min(0).max(3_600_000);
+/** A duration in a fault switch, in milliseconds. */
+export const durationMsSchema = z.number().int().min(0).max(3_600_000);
 
-const slowestFactor = 1_000;
+const maxSlowFactor = 1_000;
 
 export const targetFaultsSchema = z.strictObject({
-	/** Refuses new work and says that it is leaving. */
+	/** Refuses new requests and announces that the target is leaving. */
 	leaving: z.boolean(),
-	/** Refuses new work and says that it was not run. */
+	/** Refuses new requests and marks them as not run. */
 	refuseUnrun: z.boolean(),
-	/** Multiplies every working time. */
-	slowFactor: z.number().min(0.01).max(slowestFactor),
-	/** Runs the request and never sends a byte of the answer. */
+	/** Multiplies all processing times. */
+	slowFactor: z.number().min(0.01).max(maxSlowFactor),
+	/** Runs requests and never sends any byte of the answer. */
 	silentBeforeHead: z.boolean(),
-	/** Sends the head of the answer and nothing after it. */
+	/** Sends the status line and headers of the answer, and no body. */
 	silentAfterHead: z.boolean(),
 	/** Resets the connection after this many bytes of the answer's body. */
 	resetAfterBytes: z.number().int().min(0).nullable(),
-	/** Answers with the attempt id of another request. */
+	/** Answers with the attempt ID of a different request. */
 	foreignAttempt: z.boolean(),
-	/** How long a crash by a marked body keeps the port closed, in milliseconds. */
-	crashDownMs: switchMs,
-	/** Age of the load that is reported, in milliseconds. */
-	loadLagMs: switchMs,
+	/** How long the port stays closed after a simulated crash, in milliseconds. */
+	crashDownMs: durationMsSchema,
+	/** Delay before a change of load is reported, in milliseconds. */
+	loadLagMs: durationMsSchema,
 });
 
 export type TargetFaults = z.output<typeof targetFaultsSchema>;
@@ -46,5 +46,5 @@
 	loadLagMs: 0,
 };
 
-/** A body that contains this text crashes the target that runs it. */
-export const crashMark = 'CRASH-MARK';
+/** A request body that contains this text makes the target simulate a crash. */
+export const crashMarker = 'CRASH-MARK';
--- a/src/standin/common/waitFor.ts
+++ b/src/standin/common/waitFor.ts
@@ -1,5 +1,5 @@
 /**
- * A delay as a promise, on the timer service's clock.
+ * Promise-based delays on the timer service.
  */
 
 import type { ITimerService } from '../../base/common/timerService';
--- a/src/standin/common/workQueue.ts
+++ b/src/standin/common/workQueue.ts
@@ -1,47 +1,47 @@
 /**
- * The workers of a plain service: a fixed number of calls run together, the others wait in the order of
- * their arrival.
+ * Simulates the workers of a plain service. A fixed number of calls run concurrently, and further calls wait in order
+ * of arrival.
  */
 
 import type { IDisposable } from '../../base/common/lifecycle';
 import { toDisposable } from '../../base/common/lifecycle';
 import type { ITimerService } from '../../base/common/timerService';
-import type { BatchLoad } from './continuousBatch';
+import type { TargetLoad } from './continuousBatch';
 
-interface Work {
+interface WorkItem {
 	readonly durationMs: number;
 	readonly handleStart: () => void;
 	readonly handleEnd: () => void;
 	timer: IDisposable | undefined;
 }
 
-/** Runs work for its time. */
+/** Runs work items for their duration. */
 export class WorkQueue implements IDisposable {
-	private waiting: Work[] = [];
-	private readonly running = new Set<Work>();
+	private waiting: WorkItem[] = [];
+	private readonly running = new Set<WorkItem>();
 
 	constructor(
 		private readonly slots: number,
 		private readonly timers: ITimerService,
-		private readonly onLoad: (load: BatchLoad) => void = () => undefined,
+		private readonly onDidChangeLoad: (load: TargetLoad) => void = () => undefined,
 	) {}
 
-	/** Queues work; releasing the handle drops it if it waits still, a run that has started goes on. */
+	/** Queues a work item. Disposing the result removes the item if it is still waiting, but does not stop its run. */
 	submit(durationMs: number, handleStart: () => void, handleEnd: () => void): IDisposable {
-		const work: Work = { durationMs, handleStart, handleEnd, timer: undefined };
+		const work: WorkItem = { durationMs, handleStart, handleEnd, timer: undefined };
 		this.waiting.push(work);
-		this.startWaiting();
+		this.admitWaiting();
 		return toDisposable(() => {
 			this.waiting = this.waiting.filter(other => other !== work);
 			this.emitLoad();
 		});
 	}
 
-	getLoad(): BatchLoad {
+	getLoad(): TargetLoad {
 		return { running: this.running.size, waiting: this.waiting.length, slots: this.slots };
 	}
 
-	/** Drops everything, running work included, without a word to its owner. */
+	/** Removes all items, including running ones, without calling their callbacks. */
 	dispose(): void {
 		for (const work of this.running) {
 			work.timer?.dispose();
@@ -51,7 +51,7 @@
 		this.emitLoad();
 	}
 
-	private startWaiting(): void {
+	private admitWaiting(): void {
 		while (this.running.size < this.slots) {
 			const next = this.waiting.shift();
 			if (next === undefined) {
@@ -62,21 +62,21 @@
 		this.emitLoad();
 	}
 
-	private startWork(work: Work): void {
+	private startWork(work: WorkItem): void {
 		this.running.add(work);
 		work.handleStart();
-		// A start that kills the service has emptied the queue; its work must not come back to life.
+		// `handleStart` may simulate a crash, which empties the queue. Items removed by it must not be scheduled.
 		if (!this.running.has(work)) {
 			return;
 		}
 		work.timer = this.timers.schedule(work.durationMs, () => {
 			this.running.delete(work);
 			work.handleEnd();
-			this.startWaiting();
+			this.admitWaiting();
 		});
 	}
 
 	private emitLoad(): void {
-		this.onLoad(this.getLoad());
+		this.onDidChangeLoad(this.getLoad());
 	}
 }
--- a/src/standin/node/adminServer.ts
+++ b/src/standin/node/adminServer.ts
@@ -1,22 +1,22 @@
 /**
- * The admin port of a process of stand-ins: it publishes what the platform serves, switches faults and
- * shows counters. Nothing of the system itself speaks to it.
+ * The admin port of a stand-in process. It publishes the documents of the platform, sets fault switches and returns
+ * counters and recorded runs. The gateway itself never connects to it.
  */
 
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { IDisposable } from '../../base/common/lifecycle';
 import type { ListenAddress } from '../../core/settings/common/settingsTypes';
 import { instanceListSchema } from '../common/instanceList';
-import { BodyError, getWholeNumber, parseJson, parseTarget, readBody, sendJson } from './httpExchange';
+import { BodyError, getWholeNumber, parseJson, parseRequestUrl, readBody, sendJson } from './httpExchange';
 import { HttpListener } from './httpListener';
 import { PlainServer } from './plainServer';
 import { PlatformServer } from './platformServer';
 import type { IStandin } from './standin';
 
-/** The configuration service holds values up to this size. */
-const largestDocumentBytes = 1_048_576;
+/** The maximum size of a value in the configuration service. */
+const maxDocumentBytes = 1_048_576;
 
-/** Serves the admin port for the stand-ins of one process. */
+/** HTTP server for the admin port of one process. */
 export class AdminServer implements IDisposable {
 	private readonly listener: HttpListener;
 
@@ -36,9 +36,9 @@
 	}
 
 	private async handleRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
-		const url = parseTarget(request);
+		const url = parseRequestUrl(request);
 		try {
-			const body = await readBody(request, largestDocumentBytes);
+			const body = await readBody(request, maxDocumentBytes);
 			this.answerRequest(request.method ?? '', url, body, response);
 		} catch (error) {
 			if (!(error instanceof BodyError)) {
@@ -67,7 +67,7 @@
 	private findPlatform(response: ServerResponse): PlatformServer | undefined {
 		const platform = this.standins.find(standin => standin instanceof PlatformServer);
 		if (platform === undefined) {
-			sendJson(response, 404, { error: 'this process hosts no platform' });
+			sendJson(response, 404, { error: 'this process does not host a platform' });
 		}
 		return platform;
 	}
@@ -104,7 +104,7 @@
 		const [, name, action] = /^\/v1\/([^/]+)\/([^/]+)$/.exec(url.pathname) ?? [];
 		const standin = this.standins.find(other => other.name === name);
 		if (standin === undefined) {
-			sendJson(response, 404, { error: `no such stand-in or path: ${url.pathname}` });
+			sendJson(response, 404, { error: `unknown stand-in or path: ${url.pathname}` });
 			return;
 		}
 		switch (`${method} ${action ?? ''}`) {
@@ -115,7 +115,7 @@
 				this.applyFaults(standin, body, response);
 				return;
 			default:
-				sendJson(response, 404, { error: `no such path: ${url.pathname}` });
+				sendJson(response, 404, { error: `unknown path: ${url.pathname}` });
 		}
 	}
 
--- a/src/standin/node/engineControl.ts
+++ b/src/standin/node/engineControl.ts
@@ -1,6 +1,6 @@
 /**
- * The engine's orders over HTTP: refused, ignored, delayed or obeyed, with the load of weights that an
- * order may need.
+ * Handles orders to a simulated engine over HTTP, subject to its fault switches, and loads the weights that an order
+ * needs.
  */
 
 import type { IncomingMessage, ServerResponse } from 'node:http';
@@ -8,22 +8,22 @@
 import { Disposable, toDisposable } from '../../base/common/lifecycle';
 import type { ITimerService } from '../../base/common/timerService';
 import type { EngineFaults } from '../common/engineFaults';
-import { OrderManner } from '../common/engineFaults';
+import { OrderHandling } from '../common/engineFaults';
 import type { EngineOrder, EngineOrderState, OrderCounters } from '../common/engineOrders';
-import { EngineOrderDesk, engineOrderSchema, OrderVerdict } from '../common/engineOrders';
+import { EngineOrderProcessor, engineOrderSchema, OrderVerdict } from '../common/engineOrders';
 import type { EngineSection } from '../common/standinSettings';
 import { waitFor } from '../common/waitFor';
 import { parseJson, readBody, sendJson } from './httpExchange';
 
-/** A load that failed is tried again after this time, in milliseconds. */
+/** Delay before a failed load is retried, in milliseconds. */
 const loadRetryMs = 500;
 
 const initialRole = 'serve';
 
-/** Takes orders and loads weights. */
+/** Applies orders and loads weights. */
 export class EngineControl extends Disposable {
-	private readonly desk: EngineOrderDesk;
-	private loading: AbortController | undefined;
+	private readonly processor: EngineOrderProcessor;
+	private loadController: AbortController | undefined;
 
 	constructor(
 		private readonly section: EngineSection,
@@ -31,7 +31,7 @@
 		private readonly getFaults: () => EngineFaults,
 	) {
 		super();
-		this.desk = new EngineOrderDesk(section.fencing, {
+		this.processor = new EngineOrderProcessor(section.fencing, {
 			model: section.model,
 			version: section.version,
 			adapters: [],
@@ -41,22 +41,22 @@
 		});
 		this.register(
 			toDisposable(() => {
-				this.loading?.abort();
+				this.loadController?.abort();
 			}),
 		);
 	}
 
 	getState(): EngineOrderState {
-		return this.desk.getState();
+		return this.processor.getState();
 	}
 
 	getCounters(): OrderCounters {
-		return this.desk.getCounters();
+		return this.processor.getCounters();
 	}
 
-	/** Missing parts of the state are sent as null, since JSON leaves undefined out. */
+	/** Sends the state as JSON. Undefined members are sent as null, since JSON omits undefined. */
 	sendState(response: ServerResponse): void {
-		const { model = null, version = null, fence = null, ...rest } = this.desk.getState();
+		const { model = null, version = null, fence = null, ...rest } = this.processor.getState();
 		sendJson(response, 200, { model, version, fence, ...rest });
 	}
 
@@ -68,34 +68,37 @@
 		}
 		const { orders, orderDelayMs } = this.getFaults();
 		await waitFor(this.timers, orderDelayMs);
-		if (orders === OrderManner.Refuse) {
-			sendJson(response, 503, { error: 'orders are refused' });
+		if (orders === OrderHandling.Refuse) {
+			sendJson(response, 503, { error: 'orders are refused by a fault switch' });
 			return;
 		}
-		const verdict = orders === OrderManner.Ignore ? OrderVerdict.Applied : this.applyOrder(parsed.data);
+		const verdict = orders === OrderHandling.Ignore ? OrderVerdict.Applied : this.applyOrder(parsed.data);
 		if (verdict === OrderVerdict.Superseded) {
-			sendJson(response, 409, { error: 'older than the order in force', fence: this.desk.getState().fence });
+			sendJson(response, 409, {
+				error: 'an order with a higher fencing number is in effect',
+				fence: this.processor.getState().fence,
+			});
 			return;
 		}
 		sendJson(response, 200, { verdict });
 	}
 
 	private applyOrder(order: EngineOrder): OrderVerdict {
-		const verdict = this.desk.apply(order);
+		const verdict = this.processor.apply(order);
 		if (verdict === OrderVerdict.LoadStarted) {
-			this.loading?.abort();
-			this.loading = new AbortController();
-			void this.runLoad(order, this.desk.getLoadNumber(), this.loading.signal);
+			this.loadController?.abort();
+			this.loadController = new AbortController();
+			void this.loadWeights(order, this.processor.getLatestLoadId(), this.loadController.signal);
 		}
 		return verdict;
 	}
 
-	private async runLoad(order: EngineOrder, loadNumber: number, signal: AbortSignal): Promise<void> {
+	private async loadWeights(order: EngineOrder, loadId: number, signal: AbortSignal): Promise<void> {
 		while (!signal.aborted) {
 			try {
 				await this.fetchWeights(order, signal);
 				await waitFor(this.timers, this.section.load_ms);
-				this.desk.finishLoad(loadNumber);
+				this.processor.finishLoad(loadId);
 				return;
 			} catch {
 				await waitFor(this.timers, loadRetryMs);
@@ -111,8 +114,8 @@
 		const url = `${this.section.weights_url}${path}?bytes=${this.section.load_bytes}`;
 		const answer = await sendRequest(url, { signal, bodyTimeout: 0 });
 		let received = 0;
-		for await (const piece of answer.body as AsyncIterable<Buffer>) {
-			received += piece.length;
+		for await (const chunk of answer.body as AsyncIterable<Buffer>) {
+			received += chunk.length;
 		}
 		if (answer.statusCode !== 200 || received !== this.section.load_bytes) {
 			throw new Error(`the weight store sent ${received} bytes with status ${answer.statusCode}`);
--- a/src/standin/node/engineServer.ts
+++ b/src/standin/node/engineServer.ts
@@ -1,6 +1,6 @@
 /**
- * A model engine over HTTP: requests run in its continuous batch, answers stream token by token, orders
- * change what it holds.
+ * The HTTP server of a simulated model engine. It runs inference requests in a continuous batch, streams answers token
+ * by token, and accepts orders that change its model.
  */
 
 import type { IncomingMessage, ServerResponse } from 'node:http';
@@ -14,14 +14,14 @@
 import { ContinuousBatch } from '../common/continuousBatch';
 import type { EngineFaults } from '../common/engineFaults';
 import { engineFaultsSchema, noEngineFaults } from '../common/engineFaults';
-import type { SwitchFault } from '../common/faultBoard';
-import { FaultBoard } from '../common/faultBoard';
+import type { FaultPatchIssue } from '../common/faultBoard';
+import { FaultSwitches } from '../common/faultBoard';
 import type { InferenceRequest } from '../common/inferenceRequest';
 import { countPromptTokens, inferenceRequestSchema } from '../common/inferenceRequest';
 import { PrefixCache } from '../common/prefixCache';
 import type { EngineSection } from '../common/standinSettings';
 import { EngineControl } from './engineControl';
-import { getHeader, getWholeNumber, parseJson, parseTarget, readBody, sendJson } from './httpExchange';
+import { getHeader, getWholeNumber, parseJson, parseRequestUrl, readBody, sendJson } from './httpExchange';
 import { InferenceAnswer } from './inferenceAnswer';
 import type { IStandin } from './standin';
 import type { EngineCounters } from './standinCounters';
@@ -29,9 +29,9 @@
 
 const tokensPerPrefillUnit = 1_000;
 
-/** Serves one model engine. */
+/** Simulates one model engine. */
 export class EngineServer extends Disposable implements IStandin {
-	private readonly faults = new FaultBoard<EngineFaults>(engineFaultsSchema.partial(), noEngineFaults);
+	private readonly faults = new FaultSwitches<EngineFaults>(engineFaultsSchema.partial(), noEngineFaults);
 	private readonly host: TargetHost;
 	private readonly batch: ContinuousBatch;
 	private readonly cache: PrefixCache;
@@ -59,10 +59,10 @@
 		this.cache = new PrefixCache(
 			section.cache_tokens,
 			prefixKey => {
-				this.noteCacheEvent(CacheEventKind.Stored, prefixKey);
+				this.recordCacheEvent(CacheEventKind.Stored, prefixKey);
 			},
 			prefixKey => {
-				this.noteCacheEvent(CacheEventKind.Evicted, prefixKey);
+				this.recordCacheEvent(CacheEventKind.Evicted, prefixKey);
 			},
 		);
 		this.control = this.register(new EngineControl(section, timers, () => this.faults.get()));
@@ -72,7 +72,7 @@
 		return this.host.open();
 	}
 
-	applyFaults(patch: unknown): Result<EngineFaults, readonly SwitchFault[]> {
+	applyFaults(patch: unknown): Result<EngineFaults, readonly FaultPatchIssue[]> {
 		const applied = this.faults.apply(patch);
 		this.batch.setSlowFactor(this.faults.get().slowFactor);
 		return applied;
@@ -99,13 +99,13 @@
 		});
 	}
 
-	private noteCacheEvent(kind: CacheEventKind, prefixKey: string): void {
+	private recordCacheEvent(kind: CacheEventKind, prefixKey: string): void {
 		const { cacheEventLossPercent } = this.faults.get();
-		this.events.note(kind, prefixKey, this.timers.getNow(), cacheEventLossPercent);
+		this.events.record(kind, prefixKey, this.timers.getNow(), cacheEventLossPercent);
 	}
 
 	private async handleRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
-		const url = parseTarget(request);
+		const url = parseRequestUrl(request);
 		switch (`${request.method ?? ''} ${url.pathname}`) {
 			case 'GET /v1/load':
 				sendJson(response, 200, this.host.getReportedLoad());
@@ -135,14 +135,14 @@
 
 	private async handleWork(url: URL, request: IncomingMessage, response: ServerResponse): Promise<void> {
 		if (request.method !== 'POST') {
-			if (this.host.refuseWhereSwitched(response)) {
+			if (this.host.refuseByFault(response)) {
 				return;
 			}
-			sendJson(response, 404, { error: `no such path: ${url.pathname}` });
+			sendJson(response, 404, { error: `unknown path: ${url.pathname}` });
 			return;
 		}
 		this.host.counters.requests++;
-		if (this.host.refuseWhereSwitched(response) || this.refuseWhereUnable(response)) {
+		if (this.host.refuseByFault(response) || this.refuseIfUnavailable(response)) {
 			return;
 		}
 		if (url.pathname === '/echo') {
@@ -152,13 +152,13 @@
 		await this.handleInference(request, response);
 	}
 
-	private refuseWhereUnable(response: ServerResponse): boolean {
+	private refuseIfUnavailable(response: ServerResponse): boolean {
 		if (this.control.getState().loading) {
-			this.host.refuseUnrun(response, 'weights are being loaded');
+			this.host.refuseUnrun(response, 'the engine is loading weights');
 			return true;
 		}
 		if (this.batch.getLoad().waiting >= this.section.max_waiting) {
-			this.host.refuseUnrun(response, 'too many requests wait');
+			this.host.refuseUnrun(response, 'too many requests are waiting');
 			return true;
 		}
 		return false;
@@ -166,7 +166,7 @@
 
 	private async handleInference(request: IncomingMessage, response: ServerResponse): Promise<void> {
 		const body = await readBody(request);
-		if (this.host.endWhereMarked(body)) {
+		if (this.host.handleCrashMarker(body)) {
 			this.batch.dispose();
 			this.cache.clear();
 			return;
@@ -194,7 +194,7 @@
 		const sequence = this.batch.submit({
 			requestClass: getRequestClass(request),
 			maxTokens: inference.maxTokens,
-			handleStart: () => answer.start(this.takeFromCache(inference, prefixKey)),
+			handleStart: () => answer.start(this.recordPrefixUse(inference, prefixKey)),
 			handleToken: index => {
 				answer.addToken(index, isPaused => {
 					sequence.setPaused(isPaused);
@@ -209,11 +209,11 @@
 		});
 	}
 
-	private takeFromCache(inference: InferenceRequest, prefixKey: string | undefined): number {
+	private recordPrefixUse(inference: InferenceRequest, prefixKey: string | undefined): number {
 		if (prefixKey === undefined) {
 			return 0;
 		}
-		return this.cache.take(prefixKey, inference.prefixTokens ?? countPromptTokens(inference));
+		return this.cache.recordUse(prefixKey, inference.prefixTokens ?? countPromptTokens(inference));
 	}
 }
 
--- a/src/standin/node/httpExchange.ts
+++ b/src/standin/node/httpExchange.ts
@@ -1,40 +1,40 @@
 /**
- * Small parts of an HTTP exchange that all stand-ins share: where a request points, its body, JSON answers.
+ * HTTP helpers that all stand-ins share: request URLs, headers, bodies and JSON answers.
  */
 
 import type { IncomingMessage, OutgoingHttpHeaders, ServerResponse } from 'node:http';
 
-const largestBody = 64 * 1_048_576;
+const maxBodyBytes = 64 * 1_048_576;
 
-/** Thrown for a body that is larger than a stand-in takes or that ends early. */
+/** Thrown if a request body exceeds the size limit. */
 export class BodyError extends Error {}
 
-/** The URL of a request; its origin has no meaning. */
-export function parseTarget(request: IncomingMessage): URL {
+/** Parses the URL of a request. Only the path and the query are meaningful, the origin is a placeholder. */
+export function parseRequestUrl(request: IncomingMessage): URL {
 	return new URL(request.url ?? '/', 'http://standin.invalid');
 }
 
-/** The one value of a header, or undefined where it is missing. */
+/** Returns the first value of a header, or undefined if it is missing. */
 export function getHeader(request: IncomingMessage, name: string): string | undefined {
 	const value = request.headers[name];
 	return Array.isArray(value) ? value[0] : value;
 }
 
-/** Reads a whole body. */
-export async function readBody(request: IncomingMessage, mostBytes = largestBody): Promise<Buffer> {
-	const pieces: Buffer[] = [];
+/** Reads a complete body. Throws a `BodyError` if it exceeds `maxBytes`. */
+export async function readBody(request: IncomingMessage, maxBytes = maxBodyBytes): Promise<Buffer> {
+	const chunks: Buffer[] = [];
 	let length = 0;
-	for await (const piece of request as AsyncIterable<Buffer>) {
-		length += piece.length;
-		if (length > mostBytes) {
-			throw new BodyError(`the body is larger than ${mostBytes} bytes`);
+	for await (const chunk of request as AsyncIterable<Buffer>) {
+		length += chunk.length;
+		if (length > maxBytes) {
+			throw new BodyError(`the body is larger than ${maxBytes} bytes`);
 		}
-		pieces.push(piece);
+		chunks.push(chunk);
 	}
-	return Buffer.concat(pieces);
+	return Buffer.concat(chunks);
 }
 
-/** Parses a JSON body; undefined stands for text that is not JSON. */
+/** Parses a JSON body. Returns undefined if it is not valid JSON. */
 export function parseJson(body: Buffer): unknown {
 	try {
 		return JSON.parse(body.toString('utf8'));
@@ -43,7 +43,7 @@
 	}
 }
 
-/** Sends a whole JSON answer. */
+/** Sends a complete JSON answer. */
 export function sendJson(
 	response: ServerResponse,
 	status: number,
@@ -59,13 +59,13 @@
 	response.end(text);
 }
 
-/** A whole number from a query, or the default where it is missing or none. */
-export function getWholeNumber(url: URL, name: string, whenMissing: number): number {
+/** Returns a query parameter as a whole number, or the default if it is missing or invalid. */
+export function getWholeNumber(url: URL, name: string, defaultValue: number): number {
 	const text = url.searchParams.get(name);
-	return text !== null && /^\d+$/.test(text) ? Number(text) : whenMissing;
+	return text !== null && /^\d+$/.test(text) ? Number(text) : defaultValue;
 }
 
-/** Resolves when the response takes more bytes, or is closed. */
+/** Resolves when the response accepts more data or is closed. */
 export function waitForDrain(response: ServerResponse): Promise<void> {
 	return new Promise(resolve => {
 		const finish = (): void => {
--- a/src/standin/node/httpListener.ts
+++ b/src/standin/node/httpListener.ts
@@ -1,6 +1,6 @@
 /**
- * An HTTP server that can die the way a process dies: every open connection reset and the port closed, and
- * later come back on the same port.
+ * An HTTP server that can simulate a crash of its process: it resets all open connections, closes its port, and can
+ * listen on the same port again later.
  */
 
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
@@ -10,10 +10,10 @@
 import { listenOn } from '../../base/node/listenOn';
 import type { ListenAddress } from '../../core/settings/common/settingsTypes';
 
-/** Answers one request; a rejected promise resets the connection. */
+/** Answers a request. If the promise is rejected, the connection is reset. */
 export type RequestHandler = (request: IncomingMessage, response: ServerResponse) => void | Promise<void>;
 
-/** Owns a listening port and the connections that came in on it. */
+/** Owns a listening port and its accepted connections. */
 export class HttpListener implements IDisposable {
 	private readonly sockets = new Set<Socket>();
 	private server: Server | undefined;
@@ -26,13 +26,13 @@
 		this.port = address.port;
 	}
 
-	/** Listens, on the same port as before if it listened before, and gives the base URL. */
+	/** Starts to listen and returns the base URL. A reopened listener uses the same port as before. */
 	async open(): Promise<string> {
 		const server = createServer((request, response) => {
 			void this.runHandler(request, response);
 		});
 		server.on('connection', socket => {
-			this.noteConnection(socket);
+			this.registerConnection(socket);
 		});
 		this.server = server;
 		const { port } = await listenOn(server, { host: this.address.host, port: this.port });
@@ -41,14 +41,14 @@
 		return `http://${host}:${this.port}`;
 	}
 
-	/** Resets every open connection; new ones are still taken. */
+	/** Resets all open connections. New ones are still accepted. */
 	closeConnections(): void {
 		for (const socket of this.sockets) {
 			socket.resetAndDestroy();
 		}
 	}
 
-	/** Closes the port and resets every open connection. */
+	/** Closes the port and resets all open connections. */
 	close(): void {
 		this.server?.close();
 		this.server = undefined;
@@ -59,7 +59,7 @@
 		this.close();
 	}
 
-	private noteConnection(socket: Socket): void {
+	private registerConnection(socket: Socket): void {
 		socket.setNoDelay(true);
 		this.sockets.add(socket);
 		socket.on('error', () => undefined);
--- a/src/standin/node/inferenceAnswer.ts
+++ b/src/standin/node/inferenceAnswer.ts
@@ -1,5 +1,5 @@
 /**
- * The answer of a model engine to one request: a server-sent event for each token, or one JSON document.
+ * The answer of a simulated model engine: either a server-sent event for each token or a single JSON document.
  */
 
 import type { ServerResponse } from 'node:http';
@@ -7,10 +7,10 @@
 import { formatToken } from '../common/inferenceRequest';
 import type { TargetAnswer } from './targetAnswer';
 
-/** Turns tokens into an answer, at the pace at which the client reads. */
+/** Encodes generated tokens as an answer. Slow clients pause the generation of a streamed answer. */
 export class InferenceAnswer {
 	private readonly texts: string[] = [];
-	private isOpen = false;
+	private isHeadSent = false;
 	private cachedTokens = 0;
 
 	constructor(
@@ -20,22 +20,22 @@
 		private readonly promptTokens: number,
 	) {}
 
-	/** Notes what the cache held and gives the prompt tokens that remain to be read. */
+	/** Records the number of cached prompt tokens. Returns the number of prompt tokens that remain to be processed. */
 	start(cachedTokens: number): number {
 		this.cachedTokens = cachedTokens;
 		return Math.max(0, this.promptTokens - cachedTokens);
 	}
 
-	/** Adds a token; `setPaused` is called while the client's connection takes no more. */
+	/** Adds a token. Calls `setPaused` with true if the response buffer is full, and with false once it has drained. */
 	addToken(index: number, setPaused: (isPaused: boolean) => void): void {
 		const text = formatToken(index);
 		if (!this.inference.stream) {
 			this.texts.push(text);
 			return;
 		}
-		if (!this.isOpen) {
-			this.isOpen = true;
-			this.answer.open(200, { 'content-type': 'text/event-stream', 'cache-control': 'no-store' });
+		if (!this.isHeadSent) {
+			this.isHeadSent = true;
+			this.answer.sendHead(200, { 'content-type': 'text/event-stream', 'cache-control': 'no-store' });
 		}
 		if (!this.answer.write(Buffer.from(`data: ${JSON.stringify({ token: index, text })}\n\n`))) {
 			setPaused(true);
--- a/src/standin/node/linkConnection.ts
+++ b/src/standin/node/linkConnection.ts
@@ -1,5 +1,5 @@
 /**
- * One connection through a link: two sockets and a delay line each way.
+ * A connection through a simulated link: two sockets and a delay line in each direction.
  */
 
 import type { Socket } from 'node:net';
@@ -8,97 +8,105 @@
 import type { ITimerService } from '../../base/common/timerService';
 import type { ListenAddress } from '../../core/settings/common/settingsTypes';
 import { DelayLine } from '../common/delayLine';
-import type { SharedRate } from '../common/sharedRate';
+import type { SharedBandwidth } from '../common/sharedRate';
 
-/** A sender that is ahead of its receiver by this many bytes is no longer read. */
-const mostQueuedBytes = 1_048_576;
+/** Reading from a socket is paused while more than this many bytes are queued in its direction. */
+const maxQueuedBytes = 1_048_576;
 
-enum PieceKind {
+enum LinkEventKind {
 	Data,
-	/** The sender has ended its half of the connection. */
+	/** The sender has closed its half of the connection. */
 	End,
-	/** The sender has reset the connection. */
+	/** The socket of the sender has failed, for example by a reset. */
 	Reset,
 }
 
-type LinkPiece =
-	| { readonly kind: PieceKind.Data; readonly data: Buffer }
-	| { readonly kind: PieceKind.End | PieceKind.Reset };
+type LinkEvent =
+	| { readonly kind: LinkEventKind.Data; readonly data: Buffer }
+	| { readonly kind: LinkEventKind.End | LinkEventKind.Reset };
 
-/** What all connections of a link share. */
+/** The network path that all connections of a link share. */
 export interface LinkPath {
 	readonly to: ListenAddress;
-	readonly forwardRate: SharedRate;
-	readonly backwardRate: SharedRate;
+	readonly forwardBandwidth: SharedBandwidth;
+	readonly backwardBandwidth: SharedBandwidth;
 	readonly timers: ITimerService;
 	readonly getOneWayMs: () => number;
 }
 
-/** Relays one connection until both of its ends are closed. */
+/** Relays one connection until both sockets are closed. */
 export class LinkConnection extends Disposable {
-	private readonly far: Socket;
-	private readonly forward: DelayLine<LinkPiece>;
-	private readonly backward: DelayLine<LinkPiece>;
+	private readonly upstream: Socket;
+	private readonly forward: DelayLine<LinkEvent>;
+	private readonly backward: DelayLine<LinkEvent>;
 	private isSilent = false;
-	private isCut = false;
-	private closedEnds = 0;
+	private isPaused = false;
+	private closedSockets = 0;
 
 	constructor(
-		private readonly near: Socket,
+		private readonly downstream: Socket,
 		path: LinkPath,
 		private readonly onDidClose: () => void,
 	) {
 		super();
-		this.far = connect({ host: path.to.host, port: path.to.port, allowHalfOpen: true, noDelay: true });
+		this.upstream = connect({
+			host: path.to.host,
+			port: path.to.port,
+			allowHalfOpen: true,
+			noDelay: true,
+		});
 		this.forward = this.register(
-			new DelayLine<LinkPiece>(path.forwardRate, path.timers, path.getOneWayMs, piece => {
-				this.sendPiece(piece, this.near, this.far, this.forward);
+			new DelayLine<LinkEvent>(path.forwardBandwidth, path.timers, path.getOneWayMs, event => {
+				this.forwardEvent(event, this.downstream, this.upstream, this.forward);
 			}),
 		);
 		this.backward = this.register(
-			new DelayLine<LinkPiece>(path.backwardRate, path.timers, path.getOneWayMs, piece => {
-				this.sendPiece(piece, this.far, this.near, this.backward);
+			new DelayLine<LinkEvent>(path.backwardBandwidth, path.timers, path.getOneWayMs, event => {
+				this.forwardEvent(event, this.upstream, this.downstream, this.backward);
 			}),
 		);
-		this.followSocket(this.near, this.forward);
-		this.followSocket(this.far, this.backward);
+		this.subscribeToSocket(this.downstream, this.forward);
+		this.subscribeToSocket(this.upstream, this.backward);
 	}
 
-	/** Holds back everything on its way, in both directions, or lets it go on. */
-	setCut(isCut: boolean): void {
-		this.isCut = isCut;
-		this.applyHold(this.forward, this.far);
-		this.applyHold(this.backward, this.near);
+	/** Pauses or resumes delivery in both directions. Queued data is kept. */
+	setPaused(isPaused: boolean): void {
+		this.isPaused = isPaused;
+		this.updatePause(this.forward, this.upstream);
+		this.updatePause(this.backward, this.downstream);
 	}
 
-	/** Loses track of the connection for good: neither end hears of the other again, not even of its end. */
+	/**
+	 * Permanently discards all data in both directions, as a middlebox does that has lost its connection table. Each
+	 * socket stays open until its own peer closes it, and the close is not forwarded to the other socket.
+	 */
 	markSilent(): void {
 		this.isSilent = true;
 		this.forward.dispose();
 		this.backward.dispose();
-		this.near.resume();
-		this.far.resume();
+		this.downstream.resume();
+		this.upstream.resume();
 	}
 
-	/** Resets both ends at once. */
-	endByReset(): void {
-		this.near.resetAndDestroy();
-		this.far.resetAndDestroy();
+	/** Resets both sockets. */
+	closeWithReset(): void {
+		this.downstream.resetAndDestroy();
+		this.upstream.resetAndDestroy();
 	}
 
 	override dispose(): void {
 		super.dispose();
-		this.near.destroy();
-		this.far.destroy();
+		this.downstream.destroy();
+		this.upstream.destroy();
 	}
 
-	private followSocket(source: Socket, line: DelayLine<LinkPiece>): void {
+	private subscribeToSocket(source: Socket, line: DelayLine<LinkEvent>): void {
 		source.on('data', (data: Buffer) => {
 			if (this.isSilent) {
 				return;
 			}
-			line.push({ kind: PieceKind.Data, data }, data.length);
-			if (line.getQueuedBytes() > mostQueuedBytes) {
+			line.push({ kind: LinkEventKind.Data, data }, data.length);
+			if (line.getQueuedBytes() > maxQueuedBytes) {
 				source.pause();
 			}
 		});
@@ -106,49 +114,49 @@
 			if (this.isSilent) {
 				source.destroy();
 			}
-			line.push({ kind: PieceKind.End }, 0);
+			line.push({ kind: LinkEventKind.End }, 0);
 		});
 		source.on('error', () => {
-			line.push({ kind: PieceKind.Reset }, 0);
+			line.push({ kind: LinkEventKind.Reset }, 0);
 		});
 		source.on('close', () => {
-			this.noteClosed();
+			this.handleSocketClose();
 		});
 	}
 
-	private sendPiece(piece: LinkPiece, source: Socket, sink: Socket, line: DelayLine<LinkPiece>): void {
-		switch (piece.kind) {
-			case PieceKind.Data:
-				this.sendData(piece.data, source, sink, line);
+	private forwardEvent(event: LinkEvent, source: Socket, sink: Socket, line: DelayLine<LinkEvent>): void {
+		switch (event.kind) {
+			case LinkEventKind.Data:
+				this.forwardData(event.data, source, sink, line);
 				return;
-			case PieceKind.End:
+			case LinkEventKind.End:
 				sink.end();
 				return;
-			case PieceKind.Reset:
+			case LinkEventKind.Reset:
 				sink.resetAndDestroy();
 		}
 	}
 
-	private sendData(data: Buffer, source: Socket, sink: Socket, line: DelayLine<LinkPiece>): void {
-		if (line.getQueuedBytes() <= mostQueuedBytes) {
+	private forwardData(data: Buffer, source: Socket, sink: Socket, line: DelayLine<LinkEvent>): void {
+		if (line.getQueuedBytes() <= maxQueuedBytes) {
 			source.resume();
 		}
 		if (sink.destroyed || sink.write(data)) {
 			return;
 		}
-		this.applyHold(line, sink);
+		this.updatePause(line, sink);
 		sink.once('drain', () => {
-			this.applyHold(line, sink);
+			this.updatePause(line, sink);
 		});
 	}
 
-	private applyHold(line: DelayLine<LinkPiece>, sink: Socket): void {
-		line.setHeld(this.isCut || (sink.writableNeedDrain && !sink.destroyed));
+	private updatePause(line: DelayLine<LinkEvent>, sink: Socket): void {
+		line.setPaused(this.isPaused || (sink.writableNeedDrain && !sink.destroyed));
 	}
 
-	private noteClosed(): void {
-		this.closedEnds++;
-		if (this.closedEnds === 2) {
+	private handleSocketClose(): void {
+		this.closedSockets++;
+		if (this.closedSockets === 2) {
 			this.forward.dispose();
 			this.backward.dispose();
 			this.onDidClose();
--- a/src/standin/node/linkRelay.ts
+++ b/src/standin/node/linkRelay.ts
@@ -1,6 +1,6 @@
 /**
- * A link between two places: a TCP relay with delay, shared bandwidth, cuts and silent connections. The
- * relay accepts a connection at once, so that setting one up costs no round trip here.
+ * Simulates a network link as a TCP relay with delay, shared bandwidth, interruptions and silent connections. The
+ * relay accepts connections immediately, so the delay of the TCP handshake is not simulated.
  */
 
 import type { Server, Socket } from 'node:net';
@@ -8,11 +8,11 @@
 import type { Result } from 'neverthrow';
 import type { ITimerService } from '../../base/common/timerService';
 import { listenOn } from '../../base/node/listenOn';
-import type { SwitchFault } from '../common/faultBoard';
-import { FaultBoard } from '../common/faultBoard';
+import type { FaultPatchIssue } from '../common/faultBoard';
+import { FaultSwitches } from '../common/faultBoard';
 import type { LinkFaults } from '../common/linkFaults';
 import { createLinkFaults, LinkCut, linkFaultsSchema } from '../common/linkFaults';
-import { SharedRate } from '../common/sharedRate';
+import { SharedBandwidth } from '../common/sharedRate';
 import type { LinkSection } from '../common/standinSettings';
 import type { LinkPath } from './linkConnection';
 import { LinkConnection } from './linkConnection';
@@ -21,9 +21,9 @@
 
 const bytesPerMegabit = 125_000;
 
-/** Relays the connections of one link. */
+/** Relays the connections of one simulated link. */
 export class LinkRelay implements IStandin {
-	private readonly faults: FaultBoard<LinkFaults>;
+	private readonly faults: FaultSwitches<LinkFaults>;
 	private readonly connections = new Set<LinkConnection>();
 	private readonly path: LinkPath;
 	private readonly server: Server;
@@ -36,15 +36,15 @@
 		private readonly section: LinkSection,
 		timers: ITimerService,
 	) {
-		this.faults = new FaultBoard<LinkFaults>(
+		this.faults = new FaultSwitches<LinkFaults>(
 			linkFaultsSchema.partial(),
 			createLinkFaults(section.one_way_ms),
 		);
 		const bytesPerSecond = section.megabits_per_second * bytesPerMegabit;
 		this.path = {
 			to: section.to,
-			forwardRate: new SharedRate(bytesPerSecond),
-			backwardRate: new SharedRate(bytesPerSecond),
+			forwardBandwidth: new SharedBandwidth(bytesPerSecond),
+			backwardBandwidth: new SharedBandwidth(bytesPerSecond),
 			timers,
 			getOneWayMs: () => this.faults.get().oneWayMs,
 		};
@@ -58,12 +58,12 @@
 		return `${address}:${port}`;
 	}
 
-	applyFaults(patch: unknown): Result<LinkFaults, readonly SwitchFault[]> {
+	applyFaults(patch: unknown): Result<LinkFaults, readonly FaultPatchIssue[]> {
 		const applied = this.faults.apply(patch);
 		if (applied.isOk()) {
 			this.applyCut(applied.value.cut);
 			if (linkFaultsSchema.partial().parse(patch).silenceOpen === true) {
-				this.markOpenSilent();
+				this.markOpenConnectionsSilent();
 			}
 		}
 		return applied;
@@ -93,20 +93,20 @@
 		const connection = new LinkConnection(socket, this.path, () => {
 			this.connections.delete(connection);
 		});
-		connection.setCut(cut === LinkCut.BlackHole);
+		connection.setPaused(cut === LinkCut.BlackHole);
 		this.connections.add(connection);
 	}
 
 	private applyCut(cut: LinkCut): void {
 		for (const connection of [...this.connections]) {
-			connection.setCut(cut === LinkCut.BlackHole);
+			connection.setPaused(cut === LinkCut.BlackHole);
 			if (cut === LinkCut.Reset) {
-				connection.endByReset();
+				connection.closeWithReset();
 			}
 		}
 	}
 
-	private markOpenSilent(): void {
+	private markOpenConnectionsSilent(): void {
 		for (const connection of this.connections) {
 			connection.markSilent();
 			this.silenced++;
--- a/src/standin/node/plainServer.ts
+++ b/src/standin/node/plainServer.ts
@@ -1,6 +1,6 @@
 /**
- * A plain service over HTTP: it counts every run by the caller's own id of the call, echoes bytes, and
- * streams bytes that a reader can check.
+ * The HTTP server of a simulated plain service. It runs calls and counts the runs of each call ID, echoes request
+ * bodies, and streams pseudo-random bytes that clients can verify.
  */
 
 import type { IncomingMessage, ServerResponse } from 'node:http';
@@ -8,33 +8,33 @@
 import { Disposable } from '../../base/common/lifecycle';
 import type { ITimerService } from '../../base/common/timerService';
 import { headers } from '../../core/headers/common/headers';
-import type { SwitchFault } from '../common/faultBoard';
-import { FaultBoard } from '../common/faultBoard';
+import type { FaultPatchIssue } from '../common/faultBoard';
+import { FaultSwitches } from '../common/faultBoard';
 import type { PlainFaults } from '../common/plainFaults';
 import { createPlainFaults, plainFaultsSchema } from '../common/plainFaults';
 import type { CallRecord } from '../common/runLedger';
-import { RunLedger } from '../common/runLedger';
+import { RunLog } from '../common/runLedger';
 import { SeededBytes } from '../common/seededBytes';
 import type { PlainSection } from '../common/standinSettings';
 import { WorkQueue } from '../common/workQueue';
-import { getHeader, getWholeNumber, parseTarget, readBody, sendJson, waitForDrain } from './httpExchange';
+import { getHeader, getWholeNumber, parseRequestUrl, readBody, sendJson, waitForDrain } from './httpExchange';
 import type { IStandin } from './standin';
 import type { PlainCounters } from './standinCounters';
 import { TargetHost } from './targetHost';
 
-/** The caller's own id of a call; the system passes it on like any other header. */
+/** The call ID that the caller chose. The gateway forwards it like any other header. */
 const callIdHeader = 'x-call-id';
-const namelessCall = 'nameless';
+const missingCallId = 'nameless';
 
-const pieceBytes = 16_384;
+const chunkBytes = 16_384;
 const defaultSeed = 1;
 
-/** Serves one plain service. */
+/** Simulates one plain service. */
 export class PlainServer extends Disposable implements IStandin {
-	private readonly faults: FaultBoard<PlainFaults>;
+	private readonly faults: FaultSwitches<PlainFaults>;
 	private readonly host: TargetHost;
 	private readonly work: WorkQueue;
-	private readonly ledger = new RunLedger();
+	private readonly runLog = new RunLog();
 
 	constructor(
 		readonly name: string,
@@ -42,7 +42,7 @@
 		timers: ITimerService,
 	) {
 		super();
-		this.faults = new FaultBoard<PlainFaults>(
+		this.faults = new FaultSwitches<PlainFaults>(
 			plainFaultsSchema.partial(),
 			createPlainFaults(section.work_ms),
 		);
@@ -66,7 +66,7 @@
 		return this.host.open();
 	}
 
-	applyFaults(patch: unknown): Result<PlainFaults, readonly SwitchFault[]> {
+	applyFaults(patch: unknown): Result<PlainFaults, readonly FaultPatchIssue[]> {
 		return this.faults.apply(patch);
 	}
 
@@ -74,24 +74,24 @@
 		return {
 			...this.host.counters,
 			...this.work.getLoad(),
-			runs: this.ledger.countRuns(),
-			repeatedCalls: this.ledger.countRepeated(),
+			runs: this.runLog.countRuns(),
+			repeatedCalls: this.runLog.countRepeatedCalls(),
 		};
 	}
 
-	/** Every call with its runs. */
+	/** Lists all calls with their runs. */
 	listRuns(): CallRecord[] {
-		return this.ledger.list();
+		return this.runLog.list();
 	}
 
 	private async handleRequest(request: IncomingMessage, response: ServerResponse): Promise<void> {
-		const url = parseTarget(request);
+		const url = parseRequestUrl(request);
 		if (request.method === 'GET' && url.pathname === '/v1/load') {
 			sendJson(response, 200, this.host.getReportedLoad());
 			return;
 		}
 		this.host.counters.requests++;
-		if (this.host.refuseWhereSwitched(response)) {
+		if (this.host.refuseByFault(response)) {
 			return;
 		}
 		if (url.pathname === '/echo') {
@@ -106,18 +106,18 @@
 			await this.handleRun(request, response);
 			return;
 		}
-		sendJson(response, 404, { error: `no such path: ${url.pathname}` });
+		sendJson(response, 404, { error: `unknown path: ${url.pathname}` });
 	}
 
 	private async streamBytes(url: URL, request: IncomingMessage, response: ServerResponse): Promise<void> {
 		const source = new SeededBytes(getWholeNumber(url, 'seed', defaultSeed));
 		const answer = this.host.createAnswer(request, response);
-		let left = getWholeNumber(url, 'n', 0);
-		answer.open(200, { 'content-type': 'application/octet-stream', 'content-length': left });
-		while (left > 0 && !response.destroyed) {
-			const piece = source.take(Math.min(left, pieceBytes));
-			left -= piece.length;
-			if (!answer.write(piece)) {
+		let remainingBytes = getWholeNumber(url, 'n', 0);
+		answer.sendHead(200, { 'content-type': 'application/octet-stream', 'content-length': remainingBytes });
+		while (remainingBytes > 0 && !response.destroyed) {
+			const chunk = source.take(Math.min(remainingBytes, chunkBytes));
+			remainingBytes -= chunk.length;
+			if (!answer.write(chunk)) {
 				await waitForDrain(response);
 			}
 		}
@@ -126,18 +126,18 @@
 
 	private async handleRun(request: IncomingMessage, response: ServerResponse): Promise<void> {
 		const body = await readBody(request);
-		const callId = getHeader(request, callIdHeader) ?? namelessCall;
+		const callId = getHeader(request, callIdHeader) ?? missingCallId;
 		const { workMs, slowFactor } = this.faults.get();
 		const answer = this.host.createAnswer(request, response);
 		let runs = 0;
 		const handle = this.work.submit(
 			workMs * slowFactor,
 			() => {
-				runs = this.ledger.note(callId, {
+				runs = this.runLog.record(callId, {
 					attempt: getHeader(request, headers.attempt),
 					requestId: getHeader(request, headers.requestId),
 				});
-				if (this.host.endWhereMarked(body)) {
+				if (this.host.handleCrashMarker(body)) {
 					this.work.dispose();
 				}
 			},
--- a/src/standin/node/platformServer.ts
+++ b/src/standin/node/platformServer.ts
@@ -1,6 +1,6 @@
 /**
- * The platform over HTTP: configuration service, instance list, directory and weight store. It can only be
- * read; what it serves is set through the admin port.
+ * The HTTP server of the simulated platform: configuration service, instance list, directory and weight store. It is
+ * read-only. Its documents are published through the admin port.
  */
 
 import type { IncomingMessage, ServerResponse } from 'node:http';
@@ -9,39 +9,39 @@
 import type { ITimerService } from '../../base/common/timerService';
 import { ConfigStore } from '../common/configStore';
 import type { VersionedDocument } from '../common/configStore';
-import type { SwitchFault } from '../common/faultBoard';
-import { FaultBoard } from '../common/faultBoard';
+import type { FaultPatchIssue } from '../common/faultBoard';
+import { FaultSwitches } from '../common/faultBoard';
 import type { InstanceList } from '../common/instanceList';
 import { instanceListSchema, listDirectoryEntries } from '../common/instanceList';
 import type { PlatformFaults } from '../common/platformFaults';
 import { createPlatformFaults, platformFaultsSchema } from '../common/platformFaults';
-import { ReadBudget } from '../common/readBudget';
-import { PlatformRead, PlatformReadCounts } from '../common/platformReadCounts';
+import { ReadRateLimiter } from '../common/readBudget';
+import { PlatformReadKind, PlatformReadCounts } from '../common/platformReadCounts';
 import type { PlatformSection } from '../common/standinSettings';
 import { platformName } from '../common/standinSettings';
-import { getWholeNumber, parseTarget, sendJson } from './httpExchange';
+import { getWholeNumber, parseRequestUrl, sendJson } from './httpExchange';
 import { HttpListener } from './httpListener';
 import type { IStandin } from './standin';
 import type { PlatformCounters } from './standinCounters';
 import { WeightStore } from './weightStore';
 
-/** Versions of the platform's documents stand in this header. */
+/** The response header with the version of a document. */
 const versionHeader = 'platform-version';
 
 const millisecondsPerSecond = 1_000;
 
-/** A hanging watch is never held longer than this, in milliseconds. */
-const longestWaitMs = 120_000;
+/** The maximum duration of a long poll, in milliseconds. */
+const maxWatchWaitMs = 120_000;
 
-/** Serves the platform of one deployment. */
+/** Simulates the platform of one deployment. */
 export class PlatformServer extends Disposable implements IStandin {
 	readonly name = platformName;
 	private readonly listener: HttpListener;
-	private readonly faults: FaultBoard<PlatformFaults>;
+	private readonly faults: FaultSwitches<PlatformFaults>;
 	private readonly manifests: ConfigStore;
 	private readonly instances: ConfigStore;
-	private readonly budget: ReadBudget;
-	private readonly counts = new PlatformReadCounts();
+	private readonly rateLimiter: ReadRateLimiter;
+	private readonly readCounts = new PlatformReadCounts();
 	private readonly weights: WeightStore;
 	private instancesVersion = 0;
 
@@ -50,13 +50,13 @@
 		private readonly timers: ITimerService,
 	) {
 		super();
-		this.faults = new FaultBoard(
+		this.faults = new FaultSwitches(
 			platformFaultsSchema.partial(),
 			createPlatformFaults(section.instances_lag_ms),
 		);
 		this.manifests = new ConfigStore(timers);
 		this.instances = new ConfigStore(timers);
-		this.budget = new ReadBudget(section.reads_per_second);
+		this.rateLimiter = new ReadRateLimiter(section.reads_per_second);
 		this.weights = new WeightStore(section.weights_bytes_per_second, timers);
 		this.listener = this.register(
 			new HttpListener(section.listen, (request, response) => this.handleRequest(request, response)),
@@ -67,7 +67,7 @@
 		return this.listener.open();
 	}
 
-	applyFaults(patch: unknown): Result<PlatformFaults, readonly SwitchFault[]> {
+	applyFaults(patch: unknown): Result<PlatformFaults, readonly FaultPatchIssue[]> {
 		const applied = this.faults.apply(patch);
 		if (applied.isOk()) {
 			this.manifests.setStaleVersion(applied.value.staleVersion);
@@ -78,12 +78,12 @@
 		return applied;
 	}
 
-	/** Publishes a manifest, its bytes unread, and gives its version. */
+	/** Publishes a manifest without validating it. Returns its version. */
 	putManifest(bytes: Buffer, forcedVersion?: number): number {
 		return this.manifests.put(bytes, forcedVersion);
 	}
 
-	/** Publishes the list of instances; readers see it once the lag has passed. */
+	/** Publishes the list of instances, which is served after the lag in the fault switches. Returns its version. */
 	putInstances(list: InstanceList): number {
 		const version = ++this.instancesVersion;
 		const bytes = Buffer.from(JSON.stringify(list));
@@ -97,9 +97,9 @@
 
 	getCounters(): PlatformCounters {
 		return {
-			reads: this.counts.get(),
-			peakReadsInOneSecond: this.budget.getPeakReads(),
-			readsRefused: this.budget.countRefused(),
+			reads: this.readCounts.get(),
+			peakReadsInOneSecond: this.rateLimiter.getPeakReadsPerSecond(),
+			readsRefused: this.rateLimiter.countRefused(),
 			watchesWaiting: this.manifests.countWatches() + this.instances.countWatches(),
 			weights: this.weights.getCounters(),
 		};
@@ -114,19 +114,19 @@
 		if (faults.silent) {
 			return;
 		}
-		const url = parseTarget(request);
+		const url = parseRequestUrl(request);
 		if (request.method !== 'GET') {
-			sendJson(response, 405, { error: 'the platform can only be read' });
+			sendJson(response, 405, { error: 'the platform is read-only' });
 			return;
 		}
 		if (url.pathname.startsWith('/v1/weights/')) {
-			await this.handleLoad(url, response);
+			await this.handleWeightLoad(url, response);
 			return;
 		}
 		this.handleRead(url, response);
 	}
 
-	private async handleLoad(url: URL, response: ServerResponse): Promise<void> {
+	private async handleWeightLoad(url: URL, response: ServerResponse): Promise<void> {
 		if (this.faults.get().weightsDown) {
 			sendJson(response, 503, { error: 'the weight store is down' });
 			return;
@@ -135,30 +135,36 @@
 	}
 
 	private handleRead(url: URL, response: ServerResponse): void {
-		const waitMs = this.budget.take(this.timers.getNow());
-		if (waitMs !== undefined) {
-			const seconds = Math.max(1, Math.ceil(waitMs / millisecondsPerSecond));
-			sendJson(response, 429, { error: 'over the read budget' }, { 'retry-after': String(seconds) });
+		const retryAfterMs = this.rateLimiter.take(this.timers.getNow());
+		if (retryAfterMs !== undefined) {
+			const seconds = Math.max(1, Math.ceil(retryAfterMs / millisecondsPerSecond));
+			sendJson(
+				response,
+				429,
+				{ error: 'the limit of reads per second is exceeded' },
+				{ 'retry-after': String(seconds) },
+			);
 			return;
 		}
 		switch (url.pathname) {
 			case '/v1/config/manifest':
-				this.counts.note(PlatformRead.Manifest);
+				this.readCounts.record(PlatformReadKind.Manifest);
 				this.sendDocument(this.manifests, url, response);
 				return;
 			case '/v1/instances':
-				this.counts.note(PlatformRead.Instances);
+				this.readCounts.record(PlatformReadKind.Instances);
 				this.sendDocument(this.instances, url, response);
 				return;
 			case '/v1/directory':
-				this.counts.note(PlatformRead.Directory);
+				this.readCounts.record(PlatformReadKind.Directory);
 				this.sendDirectory(response);
 				return;
 			default:
-				sendJson(response, 404, { error: `no such path: ${url.pathname}` });
+				sendJson(response, 404, { error: `unknown path: ${url.pathname}` });
 		}
 	}
-	/** A list that was published later, under a shorter lag, is not replaced by an earlier one. */
+
+	/** Applies a published list, unless a later one with a shorter lag was applied before. */
 	private applyInstances(version: number, bytes: Buffer): void {
 		if (version > (this.instances.read()?.version ?? 0)) {
 			this.instances.put(bytes, version);
@@ -167,11 +173,11 @@
 
 	private sendDocument(store: ConfigStore, url: URL, response: ServerResponse): void {
 		const afterVersion = getWholeNumber(url, 'after', 0);
-		const waitMs = Math.min(longestWaitMs, getWholeNumber(url, 'wait-ms', 0));
+		const waitMs = Math.min(maxWatchWaitMs, getWholeNumber(url, 'wait-ms', 0));
 		if (waitMs === 0) {
-			const present = store.read();
-			const isNews = present === undefined || present.version > afterVersion;
-			this.answerRead(store, isNews ? present : undefined, response);
+			const current = store.read();
+			const isNewer = current === undefined || current.version > afterVersion;
+			this.answerRead(store, isNewer ? current : undefined, response);
 			return;
 		}
 		const watch = store.watch(afterVersion, waitMs, document => {
@@ -199,12 +205,12 @@
 			response.end(document.bytes);
 			return;
 		}
-		const present = store.read();
-		if (present === undefined) {
-			sendJson(response, 404, { error: 'nothing is published yet' });
+		const current = store.read();
+		if (current === undefined) {
+			sendJson(response, 404, { error: 'no document has been published yet' });
 			return;
 		}
-		response.writeHead(304, { [versionHeader]: String(present.version) });
+		response.writeHead(304, { [versionHeader]: String(current.version) });
 		response.end();
 	}
 
--- a/src/standin/node/standin.ts
+++ b/src/standin/node/standin.ts
@@ -1,20 +1,20 @@
 /**
- * What the host of a process knows of each stand-in that it runs.
+ * The interface that all stand-ins of a process implement.
  */
 
 import type { Result } from 'neverthrow';
 import type { IDisposable } from '../../base/common/lifecycle';
-import type { SwitchFault } from '../common/faultBoard';
+import type { FaultPatchIssue } from '../common/faultBoard';
 import type { StandinCounters } from './standinCounters';
 
-/** One stand-in: it listens, has fault switches and counts what it met. */
+/** A simulated component of the environment, with a listening port, fault switches and counters. */
 export interface IStandin extends IDisposable {
-	/** Names it in the settings and on the admin port. */
+	/** The name of the stand-in in the settings and on the admin port. */
 	readonly name: string;
-	/** Listens and gives the address, as a base URL for HTTP and as `host:port` for a link. */
+	/** Starts to listen. Returns the base URL of an HTTP server, or `host:port` of a link. */
 	open(): Promise<string>;
-	/** Merges a patch into the fault switches and gives all of them as they then stand. */
-	applyFaults(patch: unknown): Result<object, readonly SwitchFault[]>;
-	/** What it counted since its start, and what it holds now. */
+	/** Applies a patch to the fault switches. Returns the new values of all switches. */
+	applyFaults(patch: unknown): Result<object, readonly FaultPatchIssue[]>;
+	/** Returns the counters since the start, and the current gauges. */
 	getCounters(): StandinCounters;
 }
--- a/src/standin/node/standinCounters.ts
+++ b/src/standin/node/standinCounters.ts
@@ -1,31 +1,31 @@
 /**
- * The counters of each kind of stand-in, as the admin port shows them. Numbers count since the start, but for
- * those that tell what is there now: running, waiting, slots, open and what is named so.
+ * The counters of each kind of stand-in, as returned by the admin port. Most numbers count events since the start.
+ * The others are current values, such as `running`, `waiting`, `slots`, `open` and `watchesWaiting`.
  */
 
-import type { BatchLoad } from '../common/continuousBatch';
+import type { TargetLoad } from '../common/continuousBatch';
 import type { OrderCounters } from '../common/engineOrders';
-import type { PlatformRead } from '../common/platformReadCounts';
+import type { PlatformReadKind } from '../common/platformReadCounts';
 import type { PrefixCacheCounters } from '../common/prefixCache';
 import type { TargetCounters } from './targetHost';
 import type { WeightStoreCounters } from './weightStore';
 
 export interface PlatformCounters {
-	readonly reads: Readonly<Record<PlatformRead, number>>;
-	/** The most reads in one second, refused ones included. */
+	readonly reads: Readonly<Record<PlatformReadKind, number>>;
+	/** The highest number of reads in one second, including refused reads. */
 	readonly peakReadsInOneSecond: number;
 	readonly readsRefused: number;
-	/** Watches that hang now. */
+	/** Long polls that are currently waiting. */
 	readonly watchesWaiting: number;
 	readonly weights: WeightStoreCounters;
 }
 
-export interface EngineCounters extends TargetCounters, BatchLoad {
+export interface EngineCounters extends TargetCounters, TargetLoad {
 	readonly cache: PrefixCacheCounters;
 	readonly orders: OrderCounters;
 }
 
-export interface PlainCounters extends TargetCounters, BatchLoad {
+export interface PlainCounters extends TargetCounters, TargetLoad {
 	readonly runs: number;
 	/** Calls that ran more than once. */
 	readonly repeatedCalls: number;
@@ -33,11 +33,11 @@
 
 export interface LinkCounters {
 	readonly accepted: number;
-	/** Connections refused while the link was cut by resets. */
+	/** Connections that were reset on arrival because of the fault switch `cut`. */
 	readonly refused: number;
-	/** Connections silenced for good. */
+	/** Connections whose data was discarded because of the fault switch `silenceOpen`. */
 	readonly silenced: number;
-	/** Connections open now. */
+	/** Connections that are currently open. */
 	readonly open: number;
 }
 
--- a/src/standin/node/standinHost.ts
+++ b/src/standin/node/standinHost.ts
@@ -1,5 +1,5 @@
 /**
- * Hosts every stand-in of a settings file in one process.
+ * Runs all stand-ins of a settings file in one process.
  */
 
 import { Disposable } from '../../base/common/lifecycle';
@@ -13,10 +13,10 @@
 import { PlatformServer } from './platformServer';
 import type { IStandin } from './standin';
 
-/** Cache events are lost at random from this seed, so that a run can be repeated. */
+/** Seed for the random loss of cache events, so that a test run can be reproduced. */
 const cacheEventSeed = 7;
 
-/** Where everything listens, once it does. */
+/** The listening addresses of all stand-ins and of the admin port. */
 export interface StandinAddresses {
 	readonly ready: true;
 	readonly addresses: Readonly<Record<string, string>>;
@@ -45,7 +45,7 @@
 		this.admin = this.register(new AdminServer(settings.admin.listen, this.standins));
 	}
 
-	/** Resolves when every port listens. */
+	/** Opens all ports. Resolves when all of them are listening. */
 	async open(): Promise<StandinAddresses> {
 		const addresses: Record<string, string> = {};
 		for (const standin of this.standins) {
--- a/src/standin/node/targetAnswer.ts
+++ b/src/standin/node/targetAnswer.ts
@@ -1,6 +1,6 @@
 /**
- * A target's answer, sent through its fault switches: it can fall silent, end by a reset in the middle, or
- * carry the attempt id of another request.
+ * An answer of a simulated target, subject to its fault switches: it can stop before or after the head, be reset in
+ * the middle of the body, or carry the attempt ID of a different request.
  */
 
 import type { OutgoingHttpHeaders, ServerResponse } from 'node:http';
@@ -9,72 +9,72 @@
 
 const foreignAttempt = 'another-request.1';
 
-/** Writes one answer. */
+/** Writes the answer to one request. */
 export class TargetAnswer {
 	private isSilent = false;
-	private bytesLeft: number | undefined;
+	private bytesUntilReset: number | undefined;
 
 	constructor(
 		private readonly response: ServerResponse,
 		private readonly attempt: string | undefined,
-		/** The load that the target reports at this moment. */
+		/** Returns the currently reported load in the format of the load header. */
 		private readonly getLoadText: () => string,
-		/** Read once, as the head is sent: later switches concern later answers. */
+		/** Called once, when the head is sent. Later changes of the switches apply to later answers only. */
 		private readonly getFaults: () => TargetFaults,
 	) {}
 
-	/** Sends the head. */
-	open(status: number, more: OutgoingHttpHeaders): void {
+	/** Sends the status line and the headers. */
+	sendHead(status: number, extraHeaders: OutgoingHttpHeaders): void {
 		const faults = this.getFaults();
 		if (faults.silentBeforeHead) {
 			this.isSilent = true;
 			return;
 		}
-		this.response.writeHead(status, { ...more, ...this.createHeaders(faults) });
+		this.response.writeHead(status, { ...extraHeaders, ...this.createHeaders(faults) });
 		this.response.flushHeaders();
 		this.isSilent = faults.silentAfterHead;
-		this.bytesLeft = faults.resetAfterBytes ?? undefined;
-		if (this.bytesLeft === 0) {
-			this.endByReset();
+		this.bytesUntilReset = faults.resetAfterBytes ?? undefined;
+		if (this.bytesUntilReset === 0) {
+			this.closeWithReset();
 		}
 	}
 
-	/** Sends a piece; false asks to wait for the response's `drain`. */
-	write(piece: Uint8Array): boolean {
+	/** Sends a chunk of the body. If the result is false, wait for the `drain` event of the response. */
+	write(chunk: Uint8Array): boolean {
 		if (this.isSilent || this.response.destroyed) {
 			return true;
 		}
-		if (this.bytesLeft === undefined) {
-			return this.response.write(piece);
+		if (this.bytesUntilReset === undefined) {
+			return this.response.write(chunk);
 		}
-		const part = piece.subarray(0, this.bytesLeft);
-		this.bytesLeft -= part.length;
-		if (this.bytesLeft > 0) {
+		const part = chunk.subarray(0, this.bytesUntilReset);
+		this.bytesUntilReset -= part.length;
+		if (this.bytesUntilReset > 0) {
 			return this.response.write(part);
 		}
 		this.response.write(part, () => {
-			this.endByReset();
+			this.closeWithReset();
 		});
 		this.isSilent = true;
 		return true;
 	}
 
-	/** Ends the answer, unless a fault has silenced it. */
+	/** Ends the answer, unless a fault switch suppresses its end. */
 	end(): void {
 		if (!this.isSilent) {
 			this.response.end();
 		}
 	}
 
-	/** Sends a whole answer of a known length. */
-	sendWhole(status: number, body: Buffer, more: OutgoingHttpHeaders): void {
-		this.open(status, { 'content-length': body.length, ...more });
+	/** Sends an answer with a complete body of known length. */
+	sendCompleteBody(status: number, body: Buffer, extraHeaders: OutgoingHttpHeaders): void {
+		this.sendHead(status, { 'content-length': body.length, ...extraHeaders });
 		this.write(body);
 		this.end();
 	}
 
 	sendJson(status: number, value: unknown): void {
-		this.sendWhole(status, Buffer.from(JSON.stringify(value)), { 'content-type': 'application/json' });
+		this.sendCompleteBody(status, Buffer.from(JSON.stringify(value)), { 'content-type': 'application/json' });
 	}
 
 	private createHeaders(faults: TargetFaults): OutgoingHttpHeaders {
@@ -86,8 +86,8 @@
 		};
 	}
 
-	/** One turn of the loop later, so that what was written before has left the process. */
-	private endByReset(): void {
+	/** Resets the connection in the next turn of the event loop, so that earlier writes reach the network first. */
+	private closeWithReset(): void {
 		this.isSilent = true;
 		setImmediate(() => {
 			this.response.socket?.resetAndDestroy();
--- a/src/standin/node/targetHost.ts
+++ b/src/standin/node/targetHost.ts
@@ -1,6 +1,6 @@
 /**
- * What model engines and plain services have in common on the wire: the refusals of a target that wants no
- * work, the echo of the attempt, the report of its load, the crash.
+ * The HTTP behaviour that simulated model engines and plain services share: refusing requests, returning the attempt
+ * ID, reporting load, echoing bodies and simulating a crash.
  */
 
 import type { IncomingMessage, ServerResponse } from 'node:http';
@@ -8,33 +8,33 @@
 import type { ITimerService } from '../../base/common/timerService';
 import { headers } from '../../core/headers/common/headers';
 import type { ListenAddress } from '../../core/settings/common/settingsTypes';
-import type { BatchLoad } from '../common/continuousBatch';
+import type { TargetLoad } from '../common/continuousBatch';
 import { LaggedValue } from '../common/laggedValue';
 import type { TargetFaults } from '../common/targetFaults';
-import { crashMark } from '../common/targetFaults';
+import { crashMarker } from '../common/targetFaults';
 import { getHeader, sendJson, waitForDrain } from './httpExchange';
 import type { RequestHandler } from './httpListener';
 import { HttpListener } from './httpListener';
 import { TargetAnswer } from './targetAnswer';
 
-const largestLoadLagMs = 60_000;
-const openingRetryMs = 200;
+const maxLoadLagMs = 60_000;
+const reopenRetryMs = 200;
 
-/** What every target counts. */
+/** The counters of all kinds of targets. */
 export interface TargetCounters {
 	requests: number;
 	refusedUnrun: number;
-	/** Requests whose client went away before the whole answer was sent. */
+	/** Requests whose client disconnected before the complete answer was sent. */
 	cancelled: number;
 	crashes: number;
 	echoes: number;
 }
 
-/** Owns a target's port and its common behaviour. */
+/** Owns the listening port of a target and implements the shared behaviour. */
 export class TargetHost extends Disposable {
 	readonly counters: TargetCounters = { requests: 0, refusedUnrun: 0, cancelled: 0, crashes: 0, echoes: 0 };
 	private readonly listener: HttpListener;
-	private readonly load: LaggedValue<BatchLoad>;
+	private readonly load: LaggedValue<TargetLoad>;
 	private isDown = false;
 
 	constructor(
@@ -45,7 +45,7 @@
 		handle: RequestHandler,
 	) {
 		super();
-		this.load = new LaggedValue<BatchLoad>({ running: 0, waiting: 0, slots }, largestLoadLagMs);
+		this.load = new LaggedValue<TargetLoad>({ running: 0, waiting: 0, slots }, maxLoadLagMs);
 		this.listener = this.register(new HttpListener(listen, handle));
 	}
 
@@ -53,12 +53,12 @@
 		return this.listener.open();
 	}
 
-	setLoad(load: BatchLoad): void {
+	setLoad(load: TargetLoad): void {
 		this.load.set(load, this.timers.getNow());
 	}
 
-	/** The load as readers see it now. */
-	getReportedLoad(): BatchLoad {
+	/** Returns the load as it was `loadLagMs` ago. */
+	getReportedLoad(): TargetLoad {
 		return this.load.get(this.timers.getNow(), this.getFaults().loadLagMs);
 	}
 
@@ -74,8 +74,8 @@
 		);
 	}
 
-	/** Refuses new work where the switches say so; true when it did. */
-	refuseWhereSwitched(response: ServerResponse): boolean {
+	/** Refuses the request if the fault switches require it. Returns whether it was refused. */
+	refuseByFault(response: ServerResponse): boolean {
 		const faults = this.getFaults();
 		if (!faults.leaving && !faults.refuseUnrun) {
 			return false;
@@ -84,7 +84,7 @@
 		return true;
 	}
 
-	/** Refuses a request and guarantees that it was not run. */
+	/** Refuses a request and guarantees with a header that it was not run. */
 	refuseUnrun(response: ServerResponse, reason: string): void {
 		this.counters.refusedUnrun++;
 		const isLeaving = this.getFaults().leaving;
@@ -99,50 +99,54 @@
 		);
 	}
 
-	/** Sends the body back as it comes, byte for byte. */
+	/** Streams the request body back unchanged. */
 	async streamEcho(request: IncomingMessage, response: ServerResponse): Promise<void> {
 		this.counters.echoes++;
 		const answer = this.createAnswer(request, response);
 		const length = getHeader(request, 'content-length');
-		answer.open(200, {
+		answer.sendHead(200, {
 			'content-type': getHeader(request, 'content-type') ?? 'application/octet-stream',
 			...(length === undefined ? {} : { 'content-length': length }),
 		});
-		for await (const piece of request as AsyncIterable<Buffer>) {
-			if (!answer.write(piece)) {
+		for await (const chunk of request as AsyncIterable<Buffer>) {
+			if (!answer.write(chunk)) {
 				await waitForDrain(response);
 			}
 		}
 		answer.end();
 	}
 
-	/** Dies of a marked body, as a process dies: all connections reset, the port closed for a while. */
-	endWhereMarked(body: Buffer): boolean {
-		if (!body.includes(crashMark)) {
+	/**
+	 * Simulates a crash if the body contains the crash marker: resets all connections and closes the port for the
+	 * configured time. Returns whether it crashed.
+	 */
+	handleCrashMarker(body: Buffer): boolean {
+		if (!body.includes(crashMarker)) {
 			return false;
 		}
 		this.counters.crashes++;
 		this.isDown = true;
 		this.listener.close();
-		this.scheduleOpening(this.getFaults().crashDownMs);
+		this.scheduleReopen(this.getFaults().crashDownMs);
 		return true;
 	}
 
-	/** Calls back when the client goes away before the whole answer was handed to the connection. */
-	watchClient(response: ServerResponse, onDidLeave: () => void): void {
+	/** Calls `onDidDisconnect` if the client disconnects before the complete answer was written. */
+	watchClient(response: ServerResponse, onDidDisconnect: () => void): void {
 		response.on('close', () => {
 			if (!response.writableEnded && !this.isDown) {
 				this.counters.cancelled++;
-				onDidLeave();
+				onDidDisconnect();
 			}
 		});
 	}
-	/** Another process may have taken the port meanwhile; then it is tried again until it is free. */
-	private scheduleOpening(delayMs: number): void {
+
+	/** Reopens the port after a delay. If another process has taken the port, retries until it is free. */
+	private scheduleReopen(delayMs: number): void {
 		const timer = this.timers.schedule(delayMs, () => {
 			this.isDown = false;
 			this.listener.open().catch(() => {
-				this.scheduleOpening(openingRetryMs);
+				this.scheduleReopen(reopenRetryMs);
 			});
 		});
 		this.register(timer);
--- a/src/standin/node/weightStore.ts
+++ b/src/standin/node/weightStore.ts
@@ -1,17 +1,17 @@
 /**
- * The weight store: streams as many bytes as were asked for, all loads together at one rate.
+ * The simulated weight store. It streams the requested number of bytes, and all downloads share its bandwidth.
  */
 
 import type { ServerResponse } from 'node:http';
 import type { ITimerService } from '../../base/common/timerService';
-import { SharedRate } from '../common/sharedRate';
+import { SharedBandwidth } from '../common/sharedRate';
 import { waitFor } from '../common/waitFor';
 import { waitForDrain } from './httpExchange';
 
-const pieceBytes = 65_536;
-const piece = Buffer.alloc(pieceBytes);
+const chunkBytes = 65_536;
+const zeroChunk = Buffer.alloc(chunkBytes);
 
-/** What the weight store counts. */
+/** Downloads since the start, current and peak concurrency, and bytes sent. */
 export interface WeightStoreCounters {
 	readonly loads: number;
 	readonly loadsRunning: number;
@@ -19,9 +19,9 @@
 	readonly bytes: number;
 }
 
-/** Answers loads. */
+/** Serves downloads of weights. */
 export class WeightStore {
-	private readonly rate: SharedRate;
+	private readonly rate: SharedBandwidth;
 	private loads = 0;
 	private loadsRunning = 0;
 	private peakLoadsRunning = 0;
@@ -31,7 +31,7 @@
 		bytesPerSecond: number,
 		private readonly timers: ITimerService,
 	) {
-		this.rate = new SharedRate(bytesPerSecond);
+		this.rate = new SharedBandwidth(bytesPerSecond);
 	}
 
 	getCounters(): WeightStoreCounters {
@@ -39,7 +39,7 @@
 		return { loads, loadsRunning, peakLoadsRunning, bytes };
 	}
 
-	/** Streams `totalBytes` until they are sent or the reader goes away. */
+	/** Streams `totalBytes`. Stops early if the client disconnects. */
 	async stream(totalBytes: number, response: ServerResponse): Promise<void> {
 		this.loads++;
 		this.loadsRunning++;
@@ -49,23 +49,23 @@
 				'content-type': 'application/octet-stream',
 				'content-length': totalBytes,
 			});
-			await this.sendPieces(totalBytes, response);
+			await this.sendChunks(totalBytes, response);
 			response.end();
 		} finally {
 			this.loadsRunning--;
 		}
 	}
 
-	private async sendPieces(totalBytes: number, response: ServerResponse): Promise<void> {
-		let left = totalBytes;
-		while (left > 0 && !response.destroyed) {
-			const size = Math.min(left, pieceBytes);
+	private async sendChunks(totalBytes: number, response: ServerResponse): Promise<void> {
+		let remainingBytes = totalBytes;
+		while (remainingBytes > 0 && !response.destroyed) {
+			const size = Math.min(remainingBytes, chunkBytes);
 			await waitFor(this.timers, this.rate.reserve(size, this.timers.getNow()));
-			if (!response.write(piece.subarray(0, size))) {
+			if (!response.write(zeroChunk.subarray(0, size))) {
 				await waitForDrain(response);
 			}
 			this.bytes += size;
-			left -= size;
+			remainingBytes -= size;
 		}
 	}
 }
--- a/src/standin/test/configStore.test.ts
+++ b/src/standin/test/configStore.test.ts
@@ -1,7 +1,7 @@
 import { ManualTimerService } from '../../base/common/manualTimerService';
 import type { VersionedDocument } from '../common/configStore';
 import { ConfigStore } from '../common/configStore';
-import { ReadBudget } from '../common/readBudget';
+import { ReadRateLimiter } from '../common/readBudget';
 
 function createStore(): { store: ConfigStore; timers: ManualTimerService } {
 	const timers = new ManualTimerService();
@@ -19,14 +19,14 @@
 }
 
 describe('ConfigStore', () => {
-	it('counts versions up and serves the newest', () => {
+	it('assigns increasing versions and serves the latest document', () => {
 		const { store } = createStore();
 		expect(store.read()).toBeUndefined();
 		expect([store.put(createDocument('a')), store.put(createDocument('b'))]).toEqual([1, 2]);
 		expect(store.read()).toEqual({ version: 2, bytes: createDocument('b') });
 	});
 
-	it('goes on from the highest version after one that was forced', () => {
+	it('continues from the highest version after a forced version', () => {
 		const { store } = createStore();
 		store.put(createDocument('a'), 7);
 		store.put(createDocument('older'), 3);
@@ -34,7 +34,7 @@
 		expect(store.put(createDocument('b'))).toBe(8);
 	});
 
-	it('answers a watch when a newer version comes, and at its end without one', () => {
+	it('answers a watch when a newer version is published or when its wait time ends', () => {
 		const { store, timers } = createStore();
 		store.put(createDocument('a'));
 		const first = watchOnce(store, 1, 500);
@@ -48,9 +48,9 @@
 		expect(store.countWatches()).toBe(0);
 	});
 
-	it('hides newer versions while it is stale, from watches too', () => {
-		// A replica of the configuration service has stopped following. Readers go on getting a version that
-		// was replaced long ago, without any error.
+	it('hides newer versions from reads and watches while it is stale', () => {
+		// Simulates a replica of the configuration service that has stopped replicating: readers keep getting an
+		// outdated version without any error.
 		const { store } = createStore();
 		store.put(createDocument('a'));
 		store.setStaleVersion(1);
@@ -64,11 +64,11 @@
 });
 
 describe('ReadBudget', () => {
-	it('refuses what is over the limit of one second and says when the next begins', () => {
-		const budget = new ReadBudget(2);
-		expect([budget.take(100), budget.take(200), budget.take(300)]).toEqual([undefined, undefined, 800]);
-		expect(budget.take(1_100)).toBeUndefined();
-		expect(budget.getPeakReads()).toBe(3);
-		expect(budget.countRefused()).toBe(1);
+	it('refuses reads over the limit per second and returns the time until the next second', () => {
+		const limiter = new ReadRateLimiter(2);
+		expect([limiter.take(100), limiter.take(200), limiter.take(300)]).toEqual([undefined, undefined, 800]);
+		expect(limiter.take(1_100)).toBeUndefined();
+		expect(limiter.getPeakReadsPerSecond()).toBe(3);
+		expect(limiter.countRefused()).toBe(1);
 	});
 });
--- a/src/standin/test/continuousBatch.test.ts
+++ b/src/standin/test/continuousBatch.test.ts
@@ -9,7 +9,7 @@
 interface Fixture {
 	readonly timers: ManualTimerService;
 	readonly batch: ContinuousBatch;
-	/** What happened, in order, as `NAME start`, `NAME token` and `NAME end at MS`. */
+	/** The callbacks in order, as `NAME start`, `NAME token` and `NAME end at MS`. */
 	readonly events: string[];
 	submit(name: string, more?: Partial<SequenceRequest>): SequenceHandle;
 }
@@ -38,7 +38,7 @@
 }
 
 describe('ContinuousBatch', () => {
-	it('lets a sequence join at the end of a step and then takes longer for each token', () => {
+	it('adds a sequence at the end of a step and takes longer per token from then on', () => {
 		const { timers, events, submit } = createFixture(2);
 		submit('a', { maxTokens: 2 });
 		submit('b', { maxTokens: 2 });
@@ -46,7 +46,7 @@
 		expect(events.filter(event => event.includes('end'))).toEqual(['a end at 22', 'b end at 32']);
 	});
 
-	it('gives a free slot to the most urgent that waits', () => {
+	it('gives a free slot to the waiting sequence with the most urgent class', () => {
 		const { timers, events, submit } = createFixture(1);
 		submit('first');
 		submit('draft', { requestClass: RequestClass.Draft });
@@ -61,7 +61,7 @@
 		]);
 	});
 
-	it('makes the first token wait for the prompt', () => {
+	it('generates the first token after the prompt is processed', () => {
 		const { timers, events, submit } = createFixture(1);
 		submit('long', { handleStart: () => 35 });
 		timers.advance(40);
@@ -70,7 +70,7 @@
 		expect(events).toEqual(['long token', 'long end at 50']);
 	});
 
-	it('frees the slot of a cancelled sequence at once', () => {
+	it('frees the slot of a cancelled sequence immediately', () => {
 		const { timers, events, submit } = createFixture(1);
 		const cancelled = submit('cancelled', { maxTokens: 1_000 });
 		submit('next');
@@ -86,7 +86,7 @@
 		]);
 	});
 
-	it('makes no tokens for a paused sequence and goes on where it stopped', () => {
+	it('generates no tokens for a paused sequence and continues it after it is resumed', () => {
 		const { timers, events, submit } = createFixture(1);
 		const handle = submit('paused', { maxTokens: 2 });
 		timers.advance(10);
@@ -98,7 +98,7 @@
 		expect(events.at(-1)).toBe('paused end at 1020');
 	});
 
-	it('ends every sequence with all of its tokens and never runs more than its slots', () => {
+	it('completes all sequences and never runs more of them than it has slots', () => {
 		const sequence = fc.record({
 			maxTokens: fc.integer({ min: 1, max: 5 }),
 			promptTokens: fc.integer({ min: 0, max: 50 }),
@@ -111,9 +111,9 @@
 				fc.integer({ min: 1, max: 4 }),
 				(sequences, slots) => {
 					const timers = new ManualTimerService();
-					let mostRunning = 0;
+					let maxRunning = 0;
 					const batch = new ContinuousBatch(slots, timing, timers, load => {
-						mostRunning = Math.max(mostRunning, load.running);
+						maxRunning = Math.max(maxRunning, load.running);
 					});
 					const ended: number[] = [];
 					for (const { maxTokens, promptTokens, requestClass, afterMs } of sequences) {
@@ -131,7 +131,7 @@
 					}
 					timers.advance(100_000);
 					expect(ended.sort()).toEqual(sequences.map(({ maxTokens }) => maxTokens).sort());
-					expect(mostRunning).toBeLessThanOrEqual(slots);
+					expect(maxRunning).toBeLessThanOrEqual(slots);
 					expect(batch.getLoad()).toEqual({ running: 0, waiting: 0, slots });
 				},
 			),
--- a/src/standin/test/delayLine.test.ts
+++ b/src/standin/test/delayLine.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check';
 import { ManualTimerService } from '../../base/common/manualTimerService';
 import { DelayLine } from '../common/delayLine';
-import { SharedRate } from '../common/sharedRate';
+import { SharedBandwidth } from '../common/sharedRate';
 
 interface Arrival {
 	readonly item: string;
@@ -10,7 +10,7 @@
 
 function createLine(
 	timers: ManualTimerService,
-	rate: SharedRate,
+	rate: SharedBandwidth,
 ): { line: DelayLine<string>; arrivals: Arrival[] } {
 	const arrivals: Arrival[] = [];
 	const line = new DelayLine<string>(
@@ -23,9 +23,9 @@
 }
 
 describe('DelayLine', () => {
-	it('delays each piece and shares the bandwidth with other connections', () => {
+	it('delays items and shares the bandwidth with other connections', () => {
 		const timers = new ManualTimerService();
-		const rate = new SharedRate(1_000);
+		const rate = new SharedBandwidth(1_000);
 		const left = createLine(timers, rate);
 		const right = createLine(timers, rate);
 		left.line.push('a', 100);
@@ -35,34 +35,34 @@
 		expect(right.arrivals).toEqual([{ item: 'b', atMs: 255 }]);
 	});
 
-	it('keeps its pieces while it is held and then gives them out in order', () => {
+	it('keeps items while it is paused and delivers them in order when it is resumed', () => {
 		const timers = new ManualTimerService();
-		const { line, arrivals } = createLine(timers, new SharedRate(1_000));
+		const { line, arrivals } = createLine(timers, new SharedBandwidth(1_000));
 		line.push('a', 1);
-		line.setHeld(true);
+		line.setPaused(true);
 		line.push('b', 1);
 		timers.advance(10_000);
 		expect(arrivals).toEqual([]);
-		line.setHeld(false);
+		line.setPaused(false);
 		timers.advance(0);
 		expect(arrivals.map(({ item }) => item)).toEqual(['a', 'b']);
 		expect(line.getQueuedBytes()).toBe(0);
 	});
 
-	it('gives everything out in order whatever the sizes and times', () => {
-		const piece = fc.record({ bytes: fc.nat(5_000), afterMs: fc.nat(200), isHeld: fc.boolean() });
+	it('delivers all items in order for random sizes, times and pauses', () => {
+		const scheduledItem = fc.record({ bytes: fc.nat(5_000), afterMs: fc.nat(200), isPaused: fc.boolean() });
 		fc.assert(
-			fc.property(fc.array(piece, { maxLength: 30 }), pieces => {
+			fc.property(fc.array(scheduledItem, { maxLength: 30 }), scheduledItems => {
 				const timers = new ManualTimerService();
-				const { line, arrivals } = createLine(timers, new SharedRate(10_000));
-				for (const [index, { bytes, afterMs, isHeld }] of pieces.entries()) {
+				const { line, arrivals } = createLine(timers, new SharedBandwidth(10_000));
+				for (const [index, { bytes, afterMs, isPaused }] of scheduledItems.entries()) {
 					timers.advance(afterMs);
-					line.setHeld(isHeld);
+					line.setPaused(isPaused);
 					line.push(String(index), bytes);
 				}
-				line.setHeld(false);
+				line.setPaused(false);
 				timers.advance(100_000);
-				expect(arrivals.map(({ item }) => item)).toEqual(pieces.map((_, index) => String(index)));
+				expect(arrivals.map(({ item }) => item)).toEqual(scheduledItems.map((_, index) => String(index)));
 			}),
 			{ seed: 5 },
 		);
--- a/src/standin/test/linkRelay.test.ts
+++ b/src/standin/test/linkRelay.test.ts
@@ -5,29 +5,29 @@
 import { SystemTimerService } from '../../base/node/systemTimerService';
 import { LinkRelay } from '../node/linkRelay';
 
-const owned = new DisposableStore();
+const disposables = new DisposableStore();
 
 afterAll(() => {
-	owned.dispose();
+	disposables.dispose();
 });
 
-/** A server that sends back what it gets, and a link before it. */
-async function createLinkBeforeEcho(): Promise<{ relay: LinkRelay; port: number; server: Server }> {
+/** Starts an echo server and a link that relays connections to it. */
+async function createLinkToEchoServer(): Promise<{ relay: LinkRelay; port: number; server: Server }> {
 	const server = createServer(socket => {
 		socket.on('error', () => undefined);
 		socket.pipe(socket);
 	});
-	owned.add(toDisposable(() => server.close()));
+	disposables.add(toDisposable(() => server.close()));
 	server.listen(0, '127.0.0.1');
 	await once(server, 'listening');
-	const { port: farPort } = server.address() as AddressInfo;
+	const { port: serverPort } = server.address() as AddressInfo;
 	const section = {
 		listen: { host: '127.0.0.1', port: 0 },
-		to: { host: '127.0.0.1', port: farPort },
+		to: { host: '127.0.0.1', port: serverPort },
 		one_way_ms: 0,
 		megabits_per_second: 10_000,
 	};
-	const relay = owned.add(new LinkRelay('far', section, owned.add(new SystemTimerService())));
+	const relay = disposables.add(new LinkRelay('far', section, disposables.add(new SystemTimerService())));
 	const address = await relay.open();
 	return { relay, port: Number(address.split(':')[1]), server };
 }
@@ -35,7 +35,7 @@
 function createConnection(port: number): Socket {
 	const socket = connect(port, '127.0.0.1');
 	socket.on('error', () => undefined);
-	owned.add(toDisposable(() => socket.destroy()));
+	disposables.add(toDisposable(() => socket.destroy()));
 	return socket;
 }
 
@@ -52,21 +52,21 @@
 }
 
 describe('LinkRelay', () => {
-	it('passes a mebibyte there and back byte for byte, and the end after it', async () => {
-		const { port } = await createLinkBeforeEcho();
+	it('relays one mebibyte in both directions unchanged, followed by the end of the stream', async () => {
+		const { port } = await createLinkToEchoServer();
 		const socket = await openConnection(port);
 		const sent = Buffer.from(Array.from({ length: 1_048_576 }, (_, index) => (index * 31) % 251));
 		const received: Buffer[] = [];
-		socket.on('data', (piece: Buffer) => received.push(piece));
+		socket.on('data', (chunk: Buffer) => received.push(chunk));
 		socket.end(sent);
 		await once(socket, 'end');
 		expect(Buffer.concat(received).equals(sent)).toBe(true);
 	});
 
-	it('resets open connections and refuses new ones when it is cut so', async () => {
-		// The route between two regions is withdrawn and routers answer for it. Users see connections break at
-		// once, old and new.
-		const { relay, port } = await createLinkBeforeEcho();
+	it('resets open and new connections while the cut is a reset', async () => {
+		// Simulates a withdrawn route between two regions, where routers reject the traffic. Existing and new
+		// connections fail immediately.
+		const { relay, port } = await createLinkToEchoServer();
 		const open = await openConnection(port);
 		await sendAndReceive(open, 'x');
 		const closed = new Promise(resolve => open.on('close', resolve));
@@ -77,17 +77,17 @@
 		expect(await sendAndReceive(await openConnection(port), 'healed')).toBe('healed');
 	});
 
-	it('passes nothing in a black hole and goes on when it heals', async () => {
-		// Packets between two regions are lost without a word. Whoever waits for an answer hears nothing, no
-		// error either, until the link is back and the sender's system sends again.
-		const { relay, port } = await createLinkBeforeEcho();
+	it('holds back data during a black hole and delivers it afterwards', async () => {
+		// Simulates silent packet loss between two regions. Clients get neither an answer nor an error until the
+		// link works again and the sender's operating system retransmits.
+		const { relay, port } = await createLinkToEchoServer();
 		const socket = await openConnection(port);
 		await sendAndReceive(socket, 'before');
 		relay.applyFaults({ cut: 'black-hole' });
 		const during = await openConnection(port);
 		const received: string[] = [];
 		for (const each of [socket, during]) {
-			each.on('data', (piece: Buffer) => received.push(piece.toString()));
+			each.on('data', (chunk: Buffer) => received.push(chunk.toString()));
 			each.write('held');
 		}
 		await new Promise(resolve => setTimeout(resolve, 30));
@@ -97,15 +97,15 @@
 		expect(received).toEqual(['held', 'held']);
 	});
 
-	it('silences open connections while new ones work', async () => {
-		// A middlebox has restarted and lost its table of connections. Requests on connections from before get
-		// no answer and no error; whoever opens a new connection is served.
-		const { relay, port } = await createLinkBeforeEcho();
+	it('discards the data of open connections while new ones work', async () => {
+		// Simulates a middlebox that has restarted and lost its connection table. Requests on earlier connections
+		// get neither an answer nor an error. Requests on new connections are answered.
+		const { relay, port } = await createLinkToEchoServer();
 		const silent = await openConnection(port);
 		await sendAndReceive(silent, 'before');
 		relay.applyFaults({ silenceOpen: true });
 		const received: string[] = [];
-		silent.on('data', (piece: Buffer) => received.push(piece.toString()));
+		silent.on('data', (chunk: Buffer) => received.push(chunk.toString()));
 		silent.write('lost');
 		const fresh = await openConnection(port);
 		expect(await sendAndReceive(fresh, 'new')).toBe('new');
--- a/src/standin/test/standinHost.test.ts
+++ b/src/standin/test/standinHost.test.ts
@@ -8,7 +8,7 @@
 import type { StandinAddresses } from '../node/standinHost';
 import { StandinHost } from '../node/standinHost';
 
-const owned = new DisposableStore();
+const disposables = new DisposableStore();
 const agent = new Agent();
 let addresses: StandinAddresses;
 
@@ -18,21 +18,24 @@
 	readonly body: Buffer;
 }
 
-interface Send {
+interface SendOptions {
 	readonly method?: string;
 	readonly body?: string;
 	readonly headers?: Record<string, string>;
 }
 
-async function send(url: string, { method = 'POST', body = '', headers = {} }: Send = {}): Promise<Answer> {
+async function send(
+	url: string,
+	{ method = 'POST', body = '', headers = {} }: SendOptions = {},
+): Promise<Answer> {
 	const request = createRequest(url, { method, headers, agent });
 	request.end(body);
 	const [response] = (await once(request, 'response')) as [IncomingMessage];
-	const pieces: Buffer[] = [];
-	for await (const piece of response as AsyncIterable<Buffer>) {
-		pieces.push(piece);
+	const chunks: Buffer[] = [];
+	for await (const chunk of response as AsyncIterable<Buffer>) {
+		chunks.push(chunk);
 	}
-	return { status: response.statusCode ?? 0, headers: response.headers, body: Buffer.concat(pieces) };
+	return { status: response.statusCode ?? 0, headers: response.headers, body: Buffer.concat(chunks) };
 }
 
 function getUrl(name: string, path: string): string {
@@ -55,17 +58,17 @@
 		...['[engine.rounds-1]', listen, 'token_ms = 1', '[plain.bookings-1]', listen, 'work_ms = 0'],
 	].join('\n');
 	const settings = parseSettings(standinSettingsSchema, text)._unsafeUnwrap();
-	const host = owned.add(new StandinHost(settings, owned.add(new SystemTimerService())));
+	const host = disposables.add(new StandinHost(settings, disposables.add(new SystemTimerService())));
 	addresses = await host.open();
 });
 
 afterAll(() => {
 	agent.destroy();
-	owned.dispose();
+	disposables.dispose();
 });
 
 describe('StandinHost', () => {
-	it('serves a published manifest byte for byte with its version', async () => {
+	it('serves a published manifest unchanged, with its version', async () => {
 		const document = '{ "any":  "bytes" }';
 		await send(`${addresses.admin}/v1/platform/manifest`, { method: 'PUT', body: document });
 		const answer = await send(getUrl('platform', '/v1/config/manifest'), { method: 'GET' });
@@ -75,7 +78,7 @@
 		expect(same.status).toBe(304);
 	});
 
-	it('publishes targets beside entries, and only entries in the directory', async () => {
+	it('serves targets and entries in the instance list, but only entries in the directory', async () => {
 		const place = { region: 'kingston', zone: 'kingston-a' };
 		const urls = { callerUrl: 'http://127.0.0.1:1', peerUrl: 'http://127.0.0.1:2' };
 		const instances = [
@@ -93,7 +96,7 @@
 		expect(JSON.parse(directory.body.toString())).toEqual({ entries });
 	});
 
-	it('streams tokens and ends with a mark', async () => {
+	it('streams tokens followed by an end marker', async () => {
 		const body = JSON.stringify({ prompt: 'which gate?', maxTokens: 2 });
 		const answer = await send(getUrl('rounds-1', '/v1/complete'), {
 			body,
@@ -105,7 +108,7 @@
 		expect(answer.headers['anvilroad-attempt']).toBe('r.1');
 	});
 
-	it('counts each run of a call and refuses unrun where switched', async () => {
+	it('counts the runs of a call and refuses calls without running them if a fault switch is set', async () => {
 		const url = getUrl('bookings-1', '/run/pay');
 		const headers = { 'x-call-id': 'call-7' };
 		await send(url, { headers });
@@ -118,19 +121,19 @@
 		expect(await getCounters('bookings-1')).toMatchObject({ runs: 2, repeatedCalls: 1 });
 	});
 
-	it('names a switch that it does not know and changes nothing', async () => {
+	it('rejects a patch with an unknown switch and changes nothing', async () => {
 		const answer = await setFaults('bookings-1', { leaving: true, leavign: true });
 		expect([answer.status, answer.body.toString()]).toEqual([
 			400,
-			'{"error":"leavign: is no switch of this stand-in"}',
+			'{"error":"leavign: is not a fault switch of this stand-in"}',
 		]);
 		const { status } = await send(getUrl('bookings-1', '/echo'), { body: 'x' });
 		expect(status).toBe(200);
 	});
 
-	it('frees the slot of a caller that goes away in the middle of its answer', async () => {
-		// A caller's own deadline passes while an engine still writes to it, and it closes the connection. An
-		// engine that went on would hold the slot for a reader who is gone, and others would wait for nothing.
+	it('frees the slot of a client that disconnects in the middle of its answer', async () => {
+		// A client closes its connection when its own deadline passes while the engine is still streaming. If the
+		// engine kept generating, it would occupy the slot for nothing while other requests wait.
 		const request = createRequest(getUrl('rounds-1', '/v1/complete'), { method: 'POST' });
 		request.on('error', () => undefined);
 		request.end(JSON.stringify({ prompt: 'a season plan', maxTokens: 1_000_000 }));
@@ -144,22 +147,23 @@
 		expect(counters).toMatchObject({ cancelled: 1 });
 	});
 
-	it('resets an answer at the chosen byte', async () => {
-		// A target dies in the middle of an answer. The reader must not take what came for the whole.
+	it('resets an answer after the configured number of bytes', async () => {
+		// Simulates a target that crashes in the middle of an answer. The client must not treat the incomplete
+		// answer as complete.
 		await setFaults('bookings-1', { resetAfterBytes: 100 });
 		const request = createRequest(getUrl('bookings-1', '/bytes?n=5000'), { method: 'GET' });
 		request.end();
 		const [response] = (await once(request, 'response')) as [IncomingMessage];
 		let received = 0;
-		response.on('data', (piece: Buffer) => (received += piece.length));
+		response.on('data', (chunk: Buffer) => (received += chunk.length));
 		await expect(once(response, 'end')).rejects.toThrow('aborted');
 		await setFaults('bookings-1', { resetAfterBytes: null });
 		expect(received).toBe(100);
 	});
 
-	it('dies of a marked body and comes back on its port', async () => {
-		// One request kills each target that runs it. Everybody connected to that target sees a reset, and new
-		// connections are refused until the target has restarted.
+	it('crashes on a body with the crash marker and listens on the same port again', async () => {
+		// Simulates a request that crashes every target that runs it. All connections to the target are reset, and
+		// new ones are refused until it has restarted.
 		await setFaults('bookings-1', { crashDownMs: 20 });
 		await expect(send(getUrl('bookings-1', '/run/x'), { body: 'CRASH-MARK' })).rejects.toThrow();
 		let echoed: Answer | undefined;
@@ -172,9 +176,9 @@
 });
 
 describe('standinSettingsSchema', () => {
-	it('refuses two stand-ins with one name', () => {
+	it('rejects two stand-ins with the same name', () => {
 		const text = '[admin]\nlisten=127.0.0.1:0\n[engine.a]\nlisten=127.0.0.1:0\n[plain.a]\nlisten=127.0.0.1:0';
 		const faults = parseSettings(standinSettingsSchema, text)._unsafeUnwrapErr();
-		expect(faults.map(fault => fault.allowed)).toEqual(['a name that no other stand-in of the file has']);
+		expect(faults.map(fault => fault.allowed)).toEqual(['a name that no other stand-in in the file uses']);
 	});
 });
