--- a/src/standin/common/delayLine.ts
+++ b/src/standin/common/delayLine.ts
@@ -6,7 +6,7 @@
 
 import type { IDisposable } from '../../base/common/lifecycle';
 import type { ITimerService } from '../../base/common/timerService';
-import type { SharedBandwidth } from './sharedRate';
+import type { SharedBandwidth } from './sharedBandwidth';
 
 interface QueuedItem<TItem> {
 	readonly dueMs: number;
--- a/src/standin/node/linkConnection.ts
+++ b/src/standin/node/linkConnection.ts
@@ -8,7 +8,7 @@
 import type { ITimerService } from '../../base/common/timerService';
 import type { ListenAddress } from '../../core/settings/common/settingsTypes';
 import { DelayLine } from '../common/delayLine';
-import type { SharedBandwidth } from '../common/sharedRate';
+import type { SharedBandwidth } from '../common/sharedBandwidth';
 
 /** Reading from a socket is paused while more than this many bytes are queued in its direction. */
 const maxQueuedBytes = 1_048_576;
--- a/src/standin/node/standin.ts
+++ b/src/standin/node/standin.ts
@@ -4,7 +4,7 @@
 
 import type { Result } from 'neverthrow';
 import type { IDisposable } from '../../base/common/lifecycle';
-import type { FaultPatchIssue } from '../common/faultBoard';
+import type { FaultPatchIssue } from '../common/faultSwitches';
 import type { StandinCounters } from './standinCounters';
 
 /** A simulated component of the environment, with a listening port, fault switches and counters. */
--- a/src/standin/node/weightStore.ts
+++ b/src/standin/node/weightStore.ts
@@ -4,7 +4,7 @@
 
 import type { ServerResponse } from 'node:http';
 import type { ITimerService } from '../../base/common/timerService';
-import { SharedBandwidth } from '../common/sharedRate';
+import { SharedBandwidth } from '../common/sharedBandwidth';
 import { waitFor } from '../common/waitFor';
 import { waitForDrain } from './httpExchange';
 
--- a/src/standin/test/configStore.test.ts
+++ b/src/standin/test/configStore.test.ts
@@ -1,7 +1,7 @@
 import { ManualTimerService } from '../../base/common/manualTimerService';
 import type { VersionedDocument } from '../common/configStore';
 import { ConfigStore } from '../common/configStore';
-import { ReadRateLimiter } from '../common/readBudget';
+import { ReadRateLimiter } from '../common/readRateLimiter';
 
 function createStore(): { store: ConfigStore; timers: ManualTimerService } {
 	const timers = new ManualTimerService();
--- a/src/standin/test/delayLine.test.ts
+++ b/src/standin/test/delayLine.test.ts
@@ -1,7 +1,7 @@
 import fc from 'fast-check';
 import { ManualTimerService } from '../../base/common/manualTimerService';
 import { DelayLine } from '../common/delayLine';
-import { SharedBandwidth } from '../common/sharedRate';
+import { SharedBandwidth } from '../common/sharedBandwidth';
 
 interface Arrival {
 	readonly item: string;
