--- a/src/core/charts/common/typedChart.ts
+++ b/src/core/charts/common/typedChart.ts
@@ -1,72 +1,72 @@
 /**
- * State charts whose states and events the compiler knows. The file in `charts/` stays the statement of
- * the life; the enums beside the code that follows it are compared with it when the program loads. Without
- * that comparison a state renamed in the file alone would be found by the first request that reaches it.
+ * State charts with typed states and events. The files in `charts/` define the states and transitions; the enums in the
+ * code are compared with them when a module is loaded. Otherwise a state renamed only in the file would be detected only
+ * by the first request that reaches it.
  */
 
-import type { ChartFile } from '../../../base/common/chart';
-import { Chart, ChartError, ChartWalk } from '../../../base/common/chart';
+import type { StateChartDefinition } from '../../../base/common/stateChart';
+import { StateChart, StateChartError, StateChartInterpreter } from '../../../base/common/stateChart';
 
 /** The values of a string enum. */
 type EnumValues<TValue extends string> = Readonly<Record<string, TValue>>;
 
 function checkNames(
 	chartId: string,
-	what: string,
+	kind: string,
 	inFile: readonly string[],
 	inCode: readonly string[],
 ): void {
 	const unknown = inFile.filter(name => !inCode.includes(name));
 	const missing = inCode.filter(name => !inFile.includes(name));
 	if (unknown.length > 0 || missing.length > 0) {
-		throw new ChartError(
-			`${chartId}: ${what} only in the file: ${unknown.join(' ')}; only in the code: ${missing.join(' ')}`,
+		throw new StateChartError(
+			`${chartId}: ${kind} only in the file: ${unknown.join(' ')}; only in the code: ${missing.join(' ')}`,
 		);
 	}
 }
 
 /** A chart together with the enums of its states and events. */
 export class TypedChart<TState extends string, TEvent extends string> {
-	readonly chart: Chart;
+	readonly chart: StateChart;
 
-	/** Throws a ChartError where the file and the enums name different states or events. */
-	constructor(file: ChartFile, states: EnumValues<TState>, events: EnumValues<TEvent>) {
-		this.chart = new Chart(file);
+	/** Throws a StateChartError if the file and the enums define different states or events. */
+	constructor(file: StateChartDefinition, states: EnumValues<TState>, events: EnumValues<TEvent>) {
+		this.chart = new StateChart(file);
 		const fileStates = this.chart.listStates();
 		const fileEvents = new Set(fileStates.flatMap(state => this.chart.listEvents(state)));
 		checkNames(file.id, 'states', fileStates, Object.values(states));
 		checkNames(file.id, 'events', [...fileEvents], Object.values(events));
 	}
 
-	/** The state that an event leads to, or undefined where the chart has no such edge. */
+	/** Returns the state after an event, or undefined if the chart has no such transition. */
 	findNext(state: TState, event: TEvent): TState | undefined {
-		return this.chart.findNext(state, event) as TState | undefined;
+		return this.chart.findNextState(state, event) as TState | undefined;
 	}
 }
 
-/** One life on a typed chart. */
-export class TypedWalk<TState extends string, TEvent extends string> {
-	private readonly walk: ChartWalk;
+/** Current state on a typed chart. */
+export class TypedStateMachine<TState extends string, TEvent extends string> {
+	private readonly machine: StateChartInterpreter;
 
 	constructor(chart: TypedChart<TState, TEvent>) {
-		this.walk = new ChartWalk(chart.chart);
+		this.machine = new StateChartInterpreter(chart.chart);
 	}
 
 	getState(): TState {
-		return this.walk.getState() as TState;
+		return this.machine.getState() as TState;
 	}
 
 	isEnded(): boolean {
-		return this.walk.isEnded();
+		return this.machine.isEnded();
 	}
 
-	/** Follows an event's edge and gives the new state; an event without an edge is a ChartError. */
+	/** Makes the transition of an event and returns the new state; throws a ChartError if there is none. */
 	send(event: TEvent): TState {
-		return this.walk.send(event) as TState;
+		return this.machine.send(event) as TState;
 	}
 
-	/** Follows an event's edge where there is one, and says whether there was. */
+	/** Makes the transition of an event if there is one, and returns whether there was. */
 	accept(event: TEvent): boolean {
-		return this.walk.accept(event);
+		return this.machine.accept(event);
 	}
 }
--- a/src/core/following/node/platformFollower.ts
+++ b/src/core/following/node/platformFollower.ts
@@ -1,6 +1,6 @@
 /**
- * Follows one of the platform's documents: hangs on a watch for the next version, again and again. When the
- * platform refuses or is away, it pauses, and hangs again only after an answer.
+ * Tracks a versioned document of the platform by long polling. After a failed read it pauses, and reads wait for
+ * the next version again only after an answer.
  */
 
 import type { Stream } from 'most';
@@ -9,17 +9,17 @@
 import type { IRandom } from '../../../base/common/random';
 import type { ITimerService } from '../../../base/common/timerService';
 import { waitFor } from '../../../base/common/waitFor';
-import type { WatchFigures } from '../common/watchPace';
-import { planWatch, WatchPace } from '../common/watchPace';
+import type { WatchTimings } from '../common/watchBackoff';
+import { computeWatchTimings, WatchBackoff } from '../common/watchBackoff';
 import type { PlatformRead } from '../../platformClient/node/platformClient';
 
-/** A document with a version. */
+/** A document whose version increases with each change. */
 interface IVersioned {
 	readonly version: number;
 }
 
-/** One read of a document, as a client gives it. */
-export type ReadAfter<TDocument extends IVersioned> = (
+/** Waits up to `waitMs` for a version of the document above `after`. */
+export type ReadDocument<TDocument extends IVersioned> = (
 	after: number,
 	waitMs: number,
 	signal: AbortSignal,
@@ -29,24 +29,24 @@
 export class PlatformFollower<TDocument extends IVersioned> extends Disposable {
 	private readonly abort = new AbortController();
 	private readonly documents = this.register(new Channel<TDocument>());
-	private readonly figures: WatchFigures;
-	private readonly pace: WatchPace;
+	private readonly timings: WatchTimings;
+	private readonly backoff: WatchBackoff;
 	private lastVersion = 0;
-	private reads = 0;
-	private lastReadMs: number | undefined;
+	private readCount = 0;
+	private lastAnswerMs: number | undefined;
 
 	readonly onDidRead: Stream<TDocument> = this.documents.stream;
 
-	/** @param newsWithinMs By how many milliseconds a version may be late once the platform answers. */
+	/** @param maxDelayMs Maximum delay in milliseconds with which a version is received while the platform answers. */
 	constructor(
-		private readonly readAfter: ReadAfter<TDocument>,
+		private readonly readDocument: ReadDocument<TDocument>,
 		private readonly timers: ITimerService,
 		private readonly random: IRandom,
-		newsWithinMs: number,
+		maxDelayMs: number,
 	) {
 		super();
-		this.figures = planWatch(newsWithinMs);
-		this.pace = new WatchPace(this.figures, random);
+		this.timings = computeWatchTimings(maxDelayMs);
+		this.backoff = new WatchBackoff(this.timings, random);
 		this.register(
 			toDisposable(() => {
 				this.abort.abort();
@@ -54,52 +54,52 @@
 		);
 	}
 
-	/** Follows until disposed of. */
+	/** Reads new versions until disposed. */
 	async follow(): Promise<void> {
 		while (!this.abort.signal.aborted) {
 			await this.readOnce();
 		}
 	}
 
-	/** Reads made so far, waiting watches counted once. */
-	getReads(): number {
-		return this.reads;
+	/** Number of reads made so far, including one that is still waiting. */
+	countReads(): number {
+		return this.readCount;
 	}
 
 	/** Milliseconds since the platform last answered, or undefined before the first answer. */
-	getSilenceMs(): number | undefined {
-		return this.lastReadMs === undefined ? undefined : this.timers.getNow() - this.lastReadMs;
+	getTimeSinceAnswerMs(): number | undefined {
+		return this.lastAnswerMs === undefined ? undefined : this.timers.getNow() - this.lastAnswerMs;
 	}
 
 	private async readOnce(): Promise<void> {
-		this.reads++;
+		this.readCount++;
 		const startedMs = this.timers.getNow();
-		const waitMs = this.pace.planWaitMs();
-		const read = await this.readAfter(this.lastVersion, waitMs, this.abort.signal);
+		const waitMs = this.backoff.computeWaitMs();
+		const read = await this.readDocument(this.lastVersion, waitMs, this.abort.signal);
 		if (read.isErr()) {
-			this.pace.noteFailed();
-			// Told the same time, a fleet that came back exactly then would be refused together again.
-			const pauseMs = (read.error.retryAfterMs ?? 0) + this.pace.computePauseMs();
+			this.backoff.recordFailure();
+			// Random jitter: processes that retry exactly at the same `retry-after` time would be rejected again.
+			const pauseMs = (read.error.retryAfterMs ?? 0) + this.backoff.computePauseMs();
 			await waitFor(this.timers, pauseMs, this.abort.signal);
 			return;
 		}
-		this.pace.noteAnswered();
-		this.lastReadMs = this.timers.getNow();
+		this.backoff.recordAnswer();
+		this.lastAnswerMs = this.timers.getNow();
 		if (read.value !== undefined) {
 			this.lastVersion = read.value.version;
 			this.documents.emit(read.value);
 		} else if (waitMs > 0) {
-			await this.waitOutEarlyAnswer(startedMs);
+			await this.waitAfterEarlyAnswer(startedMs);
 		}
 	}
 
-	/** A platform that says "nothing new" at once must not be asked again in a tight loop. */
-	private async waitOutEarlyAnswer(startedMs: number): Promise<void> {
-		const { leastPauseMs } = this.figures;
+	/** Prevents a tight loop if the platform reports no new version without waiting. */
+	private async waitAfterEarlyAnswer(startedMs: number): Promise<void> {
+		const { minPauseMs } = this.timings;
 		const tookMs = this.timers.getNow() - startedMs;
-		if (tookMs < leastPauseMs) {
-			const drawnMs = this.random.pickFraction() * leastPauseMs;
-			await waitFor(this.timers, leastPauseMs + drawnMs, this.abort.signal);
+		if (tookMs < minPauseMs) {
+			const jitterMs = this.random.pickFraction() * minPauseMs;
+			await waitFor(this.timers, minPauseMs + jitterMs, this.abort.signal);
 		}
 	}
 }
--- a/src/core/following/test/platformFollower.test.ts
+++ b/src/core/following/test/platformFollower.test.ts
@@ -3,8 +3,8 @@
 import { subscribeTo } from '../../../base/common/channel';
 import { ManualTimerService } from '../../../base/common/manualTimerService';
 import { SeededRandom } from '../../../base/common/random';
-import type { PlatformFault } from '../../platformClient/node/platformClient';
-import { planWatch } from '../common/watchPace';
+import type { PlatformError } from '../../platformClient/node/platformClient';
+import { computeWatchTimings } from '../common/watchBackoff';
 import { PlatformFollower } from '../node/platformFollower';
 import type { Silence } from './silentPublisher';
 import { SilentPublisher } from './silentPublisher';
@@ -13,9 +13,9 @@
 	readonly version: number;
 }
 
-type Answer = Result<Document | undefined, PlatformFault>;
+type Answer = Result<Document | undefined, PlatformError>;
 
-const newsWithinMs = 9_000;
+const maxDelayMs = 9_000;
 
 const outage: Answer = err({ detail: 'connect refused', retryAfterMs: undefined });
 
@@ -25,11 +25,11 @@
 	/** When each read was made, and after which version. */
 	readonly reads: { readonly atMs: number; readonly after: number }[];
 	readonly versions: number[];
-	/** Moves the clock in small steps, so that reads and waits take turns. */
+	/** Advances the clock in small steps and lets pending promises settle between them. */
 	advance(durationMs: number): Promise<void>;
 }
 
-/** A follower whose reads are answered at once by `answer`. */
+/** Creates a follower whose reads are answered immediately by `answer`. */
 function createFollowing(answer: (read: number) => Answer, seed = 1): Following {
 	const timers = new ManualTimerService();
 	const reads: Following['reads'] = [];
@@ -41,7 +41,7 @@
 		},
 		timers,
 		new SeededRandom(seed),
-		newsWithinMs,
+		maxDelayMs,
 	);
 	subscribeTo(follower.onDidRead, ({ version }) => versions.push(version));
 	const advance = async (durationMs: number): Promise<void> => {
@@ -55,7 +55,7 @@
 }
 
 describe('PlatformFollower', () => {
-	it('emits each version and asks on from there', async () => {
+	it('emits each version and continues after it', async () => {
 		const following = createFollowing(read => ok(read <= 3 ? { version: read } : undefined));
 		void following.follower.follow();
 		await following.advance(1_000);
@@ -64,9 +64,9 @@
 		expect(following.reads.slice(0, 4).map(read => read.after)).toEqual([0, 1, 2, 3]);
 	});
 
-	it('asks rarely, and not in step with others, while the platform is away', async () => {
-		// The platform goes down for a minute. Entries that all ask again at once, and again every second,
-		// trip its rate limit when it comes back, and the outage goes on for everybody.
+	it('reads rarely, and at different times than other followers, while the platform is down', async () => {
+		// Guards against entries that retry in step during an outage: they exceed the platform's rate limit when it
+		// recovers, which prolongs the outage for all entries.
 		const [first, second] = [1, 2].map(seed => createFollowing(() => outage, seed));
 		for (const following of [first!, second!]) {
 			void following.follower.follow();
@@ -79,9 +79,9 @@
 		expect(second!.reads.slice(1, 10).map(read => read.atMs)).not.toEqual(times);
 	});
 
-	it('comes back no sooner than it was told to, and not in step with others', async () => {
-		// A fleet that lost the platform comes back to it together and is refused with one time to return.
-		// If all return exactly then, they are refused together once more.
+	it('retries no sooner than the platform requested, and at different times than other followers', async () => {
+		// Guards against rejected retries after an outage: the platform gives all entries the same retry time, and they
+		// are rejected again if all of them retry exactly at that time.
 		const refused: Answer = err({ detail: 'the platform answered 429', retryAfterMs: 10_000 });
 		const times = [1, 2].map(async seed => {
 			const following = createFollowing(() => refused, seed);
@@ -96,9 +96,9 @@
 		expect(second).not.toEqual(first);
 	});
 
-	it('does not spin where a watch is answered at once with nothing new', async () => {
-		// Something between the two ends answers for the platform without waiting. An entry that asked again
-		// at once would spend its core and the platform's whole rate on it.
+	it('pauses when a watch is answered immediately without a new version', async () => {
+		// Guards against a tight loop when an intermediary answers for the platform without waiting: it would use up the
+		// entry's CPU and the platform's rate limit.
 		const following = createFollowing(() => ok(undefined));
 		void following.follower.follow();
 		await following.advance(10_000);
@@ -106,23 +106,22 @@
 		expect(following.reads.length).toBeLessThanOrEqual(50);
 	});
 
-	// The platform falls silent for some seconds, and a version is published on its return. A read that was begun
-	// in the silence and is waited out keeps the entry on the version before, seconds longer than the fleet is
-	// given to follow, and callers are served by rules that were replaced.
-	it('has what was published at the end of a silence within the time allowed', async () => {
+	// Guards against a read that begins while the platform does not respond and hangs after its recovery: callers would
+	// be served by replaced rules for longer than the maximum delay.
+	it('receives a version published at the end of a silence within the maximum delay', async () => {
 		for (let lengthMs = 500; lengthMs <= 30_000; lengthMs += 500) {
-			const delayMs = await measureNewsDelay({ fromMs: 12_000, toMs: 12_000 + lengthMs });
-			expect(delayMs).toBeLessThanOrEqual(newsWithinMs);
+			const delayMs = await measureDelay({ fromMs: 12_000, toMs: 12_000 + lengthMs });
+			expect(delayMs).toBeLessThanOrEqual(maxDelayMs);
 		}
 	});
 });
 
-/** Milliseconds from the end of a silence, when version 2 is published, until a follower has it. */
-async function measureNewsDelay(silence: Silence): Promise<number> {
+/** Returns the milliseconds from the end of a silence, when version 2 is published, until a follower receives it. */
+async function measureDelay(silence: Silence): Promise<number> {
 	const timers = new ManualTimerService();
 	const publisher = new SilentPublisher(timers, silence);
-	const { answerMs } = planWatch(newsWithinMs);
-	const giveUp = (afterMs: number): Promise<Answer> =>
+	const { answerTimeoutMs } = computeWatchTimings(maxDelayMs);
+	const waitForTimeout = (afterMs: number): Promise<Answer> =>
 		new Promise(resolve => {
 			timers.schedule(afterMs, () => {
 				resolve(outage);
@@ -134,18 +133,18 @@
 				const { version } = publisher;
 				return ok(version > after ? { version } : undefined);
 			});
-			return Promise.race([read, giveUp(waitMs + answerMs)]);
+			return Promise.race([read, waitForTimeout(waitMs + answerTimeoutMs)]);
 		},
 		timers,
 		new SeededRandom(1),
-		newsWithinMs,
+		maxDelayMs,
 	);
-	let held = 0;
+	let heldVersion = 0;
 	subscribeTo(follower.onDidRead, ({ version }) => {
-		held = version;
+		heldVersion = version;
 	});
 	void follower.follow();
-	while (held < 2) {
+	while (heldVersion < 2) {
 		await new Promise(resolve => setImmediate(resolve));
 		timers.advance(100);
 	}
--- a/src/core/following/test/silentPublisher.ts
+++ b/src/core/following/test/silentPublisher.ts
@@ -1,20 +1,20 @@
 /**
- * A publisher in virtual time that falls silent once, for followers to be tried on: reads that hang when the
- * silence begins and reads that are made in it never get an answer, not even after it. Something new is
- * published at the moment in which the silence ends.
+ * A server for long polling on a virtual clock that does not respond during one period, for tests of followers. Reads
+ * that are waiting when the period begins and reads made during it are never answered, not even later. A new version is
+ * published when the period ends.
  */
 
 import type { ManualTimerService } from '../../../base/common/manualTimerService';
 
-/** Milliseconds of the virtual clock. */
+/** Period without responses, in milliseconds of the virtual clock. */
 export interface Silence {
 	readonly fromMs: number;
 	readonly toMs: number;
 }
 
 export class SilentPublisher {
-	private readonly hanging = new Set<() => void>();
-	/** 1, and 2 from the end of the silence on. */
+	private readonly openReads = new Set<() => void>();
+	/** 1 before the end of the silence, and 2 afterwards. */
 	version = 1;
 
 	constructor(
@@ -22,14 +22,14 @@
 		private readonly silence: Silence,
 	) {
 		timers.schedule(silence.fromMs, () => {
-			this.hanging.clear();
+			this.openReads.clear();
 		});
 		timers.schedule(silence.toMs, () => {
 			this.write();
 		});
 	}
 
-	/** A read that ends with news, or after `waitMs` without; one that meets the silence never ends. */
+	/** Resolves when there is a version above `after` or `waitMs` have passed; never resolves if the silence intervenes. */
 	async read(after: number, waitMs: number): Promise<void> {
 		await new Promise<void>(resolve => {
 			if (this.isSilent()) {
@@ -40,18 +40,18 @@
 				return;
 			}
 			const answer = (): void => {
-				if (this.hanging.delete(answer)) {
+				if (this.openReads.delete(answer)) {
 					resolve();
 				}
 			};
-			this.hanging.add(answer);
+			this.openReads.add(answer);
 			this.timers.schedule(waitMs, answer);
 		});
 	}
 
 	private write(): void {
 		this.version = 2;
-		for (const answer of this.hanging) {
+		for (const answer of this.openReads) {
 			answer();
 		}
 	}
--- a/src/core/manifest/common/manifestHolder.ts
+++ b/src/core/manifest/common/manifestHolder.ts
@@ -1,13 +1,13 @@
 /**
- * The manifest in force at one process, and the only place that changes it. Versions arrive from the
- * platform and from peers, late, twice and in any order: a platform that was restored from a backup offers
- * an old version after a new one, and an instance that was frozen offers what it held before. Only the
- * platform's version orders them, so an offer is taken if it parses, passes every check and is strictly
- * higher than what is in force; nothing else, arrival time least of all, can put an older one back.
+ * Holds the manifest in force in this process, and is the only code that changes it. Versions arrive from the platform
+ * and from peers late, repeatedly and in any order: a platform that was restored from a backup offers an old version
+ * after a new one, and an instance that was frozen offers the version that it had before. Only the platform's version
+ * number determines the order. An offered document comes into force if it is valid and its version is strictly higher
+ * than the one in force. The time of arrival has no influence, so an older version never replaces a newer one.
  *
- * Two documents with one version mean that two pipelines published at once. Neither is newer; this process
- * keeps what it has, since changing to and fro between them would be worse than either, and reports it.
- * The next version ends the disagreement.
+ * Two documents with the same version mean that two pipelines published at the same time. Neither is newer. This process
+ * keeps the one that it has, since alternating between them would be worse than either, and reports the conflict. The
+ * next version resolves it.
  */
 
 import type { Stream } from 'most';
@@ -16,22 +16,22 @@
 import { Disposable } from '../../../base/common/lifecycle';
 import type { IAuditTrail } from '../../audit/common/auditTrail';
 import { AuditKind } from '../../audit/common/auditTrail';
-import { TypedChart, TypedWalk } from '../../charts/common/typedChart';
+import { TypedChart, TypedStateMachine } from '../../charts/common/typedChart';
 import type { ManifestVersion } from '../../ids/common/ids';
-import type { DocumentFault, Manifest } from './manifest';
+import type { ValidationIssue, Manifest } from './manifest';
 import { parseManifest } from './manifest';
 
-/** The life of one offered document. */
+/** States of an offered document. */
 export enum ManifestState {
 	Offered = 'offered',
 	Checking = 'checking',
 	InForce = 'inForce',
 	Replaced = 'replaced',
-	/** Not higher than what is in force. */
+	/** The version is lower than the one in force, or the document is in force already. */
 	PassedOver = 'passedOver',
-	/** The version in force with another document. */
+	/** The version is in force with another document. */
 	Conflicting = 'conflicting',
-	/** Higher, and faulty. */
+	/** The version is higher, but the document or its version is not valid. */
 	Invalid = 'invalid',
 }
 
@@ -39,7 +39,7 @@
 	Lower = 'Lower',
 	Same = 'Same',
 	Conflict = 'Conflict',
-	/** The same document was found faulty before. */
+	/** The same document was rejected before. */
 	Known = 'Known',
 	Higher = 'Higher',
 	Pass = 'Pass',
@@ -49,12 +49,12 @@
 
 export const manifestChart = new TypedChart(chartFile, ManifestState, ManifestEvent);
 
-/** A document as the platform or a peer gives it; nothing in it is trusted. */
+/** A document received from the platform or a peer, not yet validated. */
 export interface ManifestOffer {
 	readonly version: number;
-	/** The document as the platform published it, byte for byte. */
+	/** The document exactly as the platform published it. */
 	readonly document: string;
-	/** Who gave it: `platform`, `peer entry-2`. */
+	/** Sender of the document, such as `platform` or `peer entry-2`. */
 	readonly source: string;
 }
 
@@ -62,50 +62,50 @@
 export interface AcceptedManifest {
 	readonly version: ManifestVersion;
 	readonly digest: string;
-	/** Kept to be given to peers unchanged. */
+	/** The original document, which is sent to peers unchanged. */
 	readonly document: string;
 	readonly manifest: Manifest;
 	readonly source: string;
 }
 
-/** A hash of a document, equal on every instance. */
+/** Computes a hash of a document that is the same on every instance. */
 export type DigestFunction = (document: string) => string;
 
-/** Gives the manifest in force and its changes. */
+/** Provides the manifest in force and its changes. */
 export interface IManifestHolder {
 	readonly onDidAccept: Stream<AcceptedManifest>;
 	getCurrent(): AcceptedManifest | undefined;
 	submit(offer: ManifestOffer): ManifestState;
 }
 
-interface ManifestLife {
-	readonly walk: TypedWalk<ManifestState, ManifestEvent>;
+interface HeldManifest {
+	readonly stateMachine: TypedStateMachine<ManifestState, ManifestEvent>;
 	readonly accepted: AcceptedManifest;
 }
 
-/** Faulty and conflicting documents remembered, so that a repeat costs no parse and no audit record. */
-const mostReported = 64;
+/** Maximum number of rejected documents that are kept, so that repeated offers are not parsed and audited again. */
+const maxReportedDocuments = 64;
 
-/** Faults written to the audit trail for one document; `anvilroadctl check` names them all. */
-const mostFaultsTold = 3;
+/** Maximum number of errors of a document in its audit record; `anvilroadctl check` prints all of them. */
+const maxRecordedIssues = 3;
 
 function formatVersion(version: number | undefined): string {
 	return version === undefined ? 'none' : `v${version}`;
 }
 
-function formatFaults(faults: readonly DocumentFault[]): string {
-	const told = faults.slice(0, mostFaultsTold).map(fault => `${fault.place} ${fault.problem}`.trim());
-	return `${faults.length} faults: ${told.join('; ')}`;
+function formatIssues(issues: readonly ValidationIssue[]): string {
+	const listed = issues.slice(0, maxRecordedIssues).map(issue => `${issue.place} ${issue.problem}`.trim());
+	return `${issues.length} faults: ${listed.join('; ')}`;
 }
 
-/** Holds the manifest in force. */
+/** Holds the manifest in force and the state machine of its document. */
 export class ManifestHolder extends Disposable implements IManifestHolder {
 	private readonly channel = this.register(new Channel<AcceptedManifest>());
 	private readonly counts = new Map<ManifestState, number>();
-	private readonly reported = new Set<string>();
-	private current: ManifestLife | undefined;
+	private readonly reportedDocuments = new Set<string>();
+	private current: HeldManifest | undefined;
 
-	/** Each manifest that comes into force, once, in rising order of versions. */
+	/** Emits each manifest that comes into force once, in ascending order of versions. */
 	readonly onDidAccept = this.channel.stream;
 
 	constructor(
@@ -119,64 +119,72 @@
 		return this.current?.accepted;
 	}
 
-	/** Offers that ended in a state, since the start. */
+	/** Returns the number of offers since the start for which `submit` returned `state`. */
 	countOffers(state: ManifestState): number {
 		return this.counts.get(state) ?? 0;
 	}
 
-	/** Takes a document that the platform or a peer gave, and says what became of it. */
+	/** Checks an offered document, puts it in force if it is valid and newer, and returns its state. */
 	submit(offer: ManifestOffer): ManifestState {
-		const walk = new TypedWalk(manifestChart);
-		const state = this.decide(walk, offer);
+		const stateMachine = new TypedStateMachine(manifestChart);
+		const state = this.decide(stateMachine, offer);
 		this.counts.set(state, this.countOffers(state) + 1);
 		return state;
 	}
 
-	private decide(walk: ManifestLife['walk'], offer: ManifestOffer): ManifestState {
+	private decide(stateMachine: HeldManifest['stateMachine'], offer: ManifestOffer): ManifestState {
 		const heldVersion = this.getCurrent()?.version;
 		if (heldVersion !== undefined && offer.version < heldVersion) {
-			return walk.send(ManifestEvent.Lower);
+			return stateMachine.send(ManifestEvent.Lower);
 		}
 		const digest = this.computeDigest(offer.document);
 		if (offer.version === heldVersion) {
-			return this.compareWithHeld(walk, offer, digest);
+			return this.compareWithCurrent(stateMachine, offer, digest);
 		}
-		if (this.reported.has(createReportKey(offer.version, digest))) {
-			return walk.send(ManifestEvent.Known);
+		if (this.reportedDocuments.has(createDocumentKey(offer.version, digest))) {
+			return stateMachine.send(ManifestEvent.Known);
 		}
-		walk.send(ManifestEvent.Higher);
-		return this.check(walk, offer, digest);
+		stateMachine.send(ManifestEvent.Higher);
+		return this.check(stateMachine, offer, digest);
 	}
 
-	private compareWithHeld(walk: ManifestLife['walk'], offer: ManifestOffer, digest: string): ManifestState {
+	private compareWithCurrent(
+		stateMachine: HeldManifest['stateMachine'],
+		offer: ManifestOffer,
+		digest: string,
+	): ManifestState {
 		if (digest === this.getCurrent()?.digest) {
-			return walk.send(ManifestEvent.Same);
+			return stateMachine.send(ManifestEvent.Same);
 		}
 		this.recordRefusal(offer, digest, `another document with the version in force, digest ${digest}`);
-		return walk.send(ManifestEvent.Conflict);
+		return stateMachine.send(ManifestEvent.Conflict);
 	}
 
-	private check(walk: ManifestLife['walk'], offer: ManifestOffer, digest: string): ManifestState {
+	private check(
+		stateMachine: HeldManifest['stateMachine'],
+		offer: ManifestOffer,
+		digest: string,
+	): ManifestState {
 		if (!Number.isSafeInteger(offer.version) || offer.version < 1) {
 			this.recordRefusal(offer, digest, 'the version is not a whole number above 0');
-			return walk.send(ManifestEvent.Fail);
+			return stateMachine.send(ManifestEvent.Fail);
 		}
 		const parsed = parseManifest(offer.document);
 		if (parsed.isErr()) {
-			this.recordRefusal(offer, digest, formatFaults(parsed.error));
-			return walk.send(ManifestEvent.Fail);
+			this.recordRefusal(offer, digest, formatIssues(parsed.error));
+			return stateMachine.send(ManifestEvent.Fail);
 		}
-		const state = walk.send(ManifestEvent.Pass);
-		this.putInForce({
-			walk,
+		const state = stateMachine.send(ManifestEvent.Pass);
+		this.setCurrent({
+			stateMachine,
 			accepted: { ...offer, version: offer.version as ManifestVersion, digest, manifest: parsed.value },
 		});
 		return state;
 	}
 
-	private putInForce(next: ManifestLife): void {
+	private setCurrent(next: HeldManifest): void {
 		const previous = this.current;
-		previous?.walk.send(ManifestEvent.Replace);
+		previous?.stateMachine.send(ManifestEvent.Replace);
 		this.current = next;
 		this.auditTrail.record({
 			kind: AuditKind.Manifest,
@@ -190,16 +198,16 @@
 	}
 
 	private recordRefusal(offer: ManifestOffer, digest: string, problem: string): void {
-		const key = createReportKey(offer.version, digest);
-		if (this.reported.has(key)) {
+		const key = createDocumentKey(offer.version, digest);
+		if (this.reportedDocuments.has(key)) {
 			return;
 		}
-		this.reported.add(key);
-		for (const oldest of this.reported) {
-			if (this.reported.size <= mostReported) {
+		this.reportedDocuments.add(key);
+		for (const oldest of this.reportedDocuments) {
+			if (this.reportedDocuments.size <= maxReportedDocuments) {
 				break;
 			}
-			this.reported.delete(oldest);
+			this.reportedDocuments.delete(oldest);
 		}
 		const held = this.getCurrent()?.version;
 		this.auditTrail.record({
@@ -213,6 +221,6 @@
 	}
 }
 
-function createReportKey(version: number, digest: string): string {
+function createDocumentKey(version: number, digest: string): string {
 	return `${version} ${digest}`;
 }
--- a/src/core/platformClient/node/platformClient.ts
+++ b/src/core/platformClient/node/platformClient.ts
@@ -1,7 +1,7 @@
 /**
- * Reads the platform's configuration service and instance list over HTTP; docs/PLATFORM.md tells the
- * protocol. Every call counts against the rate that all readers share, a waiting watch as one, so followers
- * hang on a watch in place of polling.
+ * Reads the platform's configuration service and instance list over HTTP; docs/PLATFORM.md describes the protocol. Every
+ * call counts against a rate limit that all readers share, and a long-polling read counts once, so followers use long
+ * polling instead of polling at an interval.
  */
 
 import type { Stream } from 'most';
@@ -14,28 +14,28 @@
 import type { InstanceList } from '../common/instanceList';
 import { parseInstanceList } from '../common/instanceList';
 
-/** A versioned document as the platform gave it. */
+/** A versioned document as received from the platform. */
 export interface PlatformDocument {
 	readonly version: number;
 	readonly bytes: Uint8Array;
 }
 
-/** Why a read gave nothing. */
-export interface PlatformFault {
+/** Why a read failed. */
+export interface PlatformError {
 	readonly detail: string;
-	/** When the platform said to come back, in milliseconds from now. */
+	/** Delay before the next read that the platform requested with `retry-after`, in milliseconds. */
 	readonly retryAfterMs: number | undefined;
 }
 
-/** A read: a newer document, or undefined where none came in the time waited for. */
-export type PlatformRead<TValue> = Promise<Result<TValue | undefined, PlatformFault>>;
+/** Result of a read: a newer document, or undefined if there was none within the wait. */
+export type PlatformRead<TValue> = Promise<Result<TValue | undefined, PlatformError>>;
 
 /** A versioned instance list. */
 export interface VersionedInstanceList extends InstanceList {
 	readonly version: number;
 }
 
-/** The platform, read only. */
+/** Read access to the platform. */
 export interface IPlatformClient {
 	/** Waits up to `waitMs` for a manifest with a version above `after`. */
 	readManifest(after: number, waitMs: number, signal: AbortSignal): PlatformRead<PlatformDocument>;
@@ -43,7 +43,7 @@
 	readInstances(after: number, waitMs: number, signal: AbortSignal): PlatformRead<VersionedInstanceList>;
 }
 
-/** How one read ended, for those who count. */
+/** Outcome of one read, for metrics. */
 export interface PlatformReadEnd {
 	readonly kind: PlatformReadKind;
 	readonly result: ReadResult;
@@ -53,29 +53,30 @@
 const statusNotModified = 304;
 const statusNotFound = 404;
 const statusTooManyRequests = 429;
-/** Documents that are followed by their versions. */
-type FollowedKind = PlatformReadKind.Manifest | PlatformReadKind.Instances;
 
-const paths: Readonly<Record<FollowedKind, string>> = {
+/** Versioned documents that can be read with long polling. */
+type DocumentKind = PlatformReadKind.Manifest | PlatformReadKind.Instances;
+
+const paths: Readonly<Record<DocumentKind, string>> = {
 	[PlatformReadKind.Manifest]: '/v1/config/manifest',
 	[PlatformReadKind.Instances]: '/v1/instances',
 };
 
-/** The platform over HTTP. */
+/** Reads from the platform over HTTP. */
 export class HttpPlatformClient implements IPlatformClient {
-	private readonly ends = new Channel<PlatformReadEnd>();
+	private readonly readEnds = new Channel<PlatformReadEnd>();
 
-	/** The end of each read; one that was given up by its caller is not told. */
-	readonly onDidEndRead: Stream<PlatformReadEnd> = this.ends.stream;
+	/** Emits the outcome of each read, except reads that failed after their caller aborted them. */
+	readonly onDidEndRead: Stream<PlatformReadEnd> = this.readEnds.stream;
 
 	private readonly agent: Agent;
 
-	/** @param answerMs How long an answer may take beyond the wait asked for; silence for longer is an outage. */
+	/** @param answerTimeoutMs How long an answer may take beyond the requested wait before the read fails. */
 	constructor(
 		private readonly origin: string,
-		private readonly answerMs: number,
+		private readonly answerTimeoutMs: number,
 	) {
-		this.agent = new Agent({ pipelining: 1, connect: { timeout: answerMs } });
+		this.agent = new Agent({ pipelining: 1, connect: { timeout: answerTimeoutMs } });
 	}
 
 	async readManifest(after: number, waitMs: number, signal: AbortSignal): PlatformRead<PlatformDocument> {
@@ -99,12 +100,12 @@
 	}
 
 	async close(): Promise<void> {
-		this.ends.dispose();
+		this.readEnds.dispose();
 		await this.agent.destroy();
 	}
 
 	private async read(
-		kind: FollowedKind,
+		kind: DocumentKind,
 		after: number,
 		waitMs: number,
 		signal: AbortSignal,
@@ -115,17 +116,17 @@
 				{
 					dispatcher: this.agent,
 					signal,
-					headersTimeout: waitMs + this.answerMs,
-					bodyTimeout: this.answerMs,
+					headersTimeout: waitMs + this.answerTimeoutMs,
+					bodyTimeout: this.answerTimeoutMs,
 				},
 			);
 			const bytes = new Uint8Array(await answer.body.arrayBuffer());
 			const read = readAnswer(answer.statusCode, answer.headers, bytes);
-			this.ends.emit({ kind, result: describeResult(answer.statusCode, read) });
+			this.readEnds.emit({ kind, result: describeResult(answer.statusCode, read) });
 			return read;
 		} catch (error) {
 			if (!signal.aborted) {
-				this.ends.emit({ kind, result: ReadResult.Failed });
+				this.readEnds.emit({ kind, result: ReadResult.Failed });
 			}
 			return err({ detail: error instanceof Error ? error.message : String(error), retryAfterMs: undefined });
 		}
@@ -134,7 +135,7 @@
 
 function describeResult(
 	status: number,
-	read: Result<PlatformDocument | undefined, PlatformFault>,
+	read: Result<PlatformDocument | undefined, PlatformError>,
 ): ReadResult {
 	if (status === statusTooManyRequests) {
 		return ReadResult.Refused;
@@ -149,7 +150,7 @@
 	status: number,
 	answerHeaders: Record<string, string | string[] | undefined>,
 	bytes: Uint8Array,
-): Result<PlatformDocument | undefined, PlatformFault> {
+): Result<PlatformDocument | undefined, PlatformError> {
 	if (status === statusNotModified || status === statusNotFound) {
 		return ok(undefined);
 	}
--- a/src/core/store/common/storeFollower.ts
+++ b/src/core/store/common/storeFollower.ts
@@ -1,16 +1,16 @@
 /**
- * Follows the items below one prefix of the store: lists them once, then hangs on a watch again and again.
+ * Tracks the items below one prefix of the store: lists them once, then repeats watch calls (long polling).
  *
- * What goes wrong and how it is met:
+ * Failures and how they are handled:
  *
- * - The store is away, turns this process away, or its answers are lost. Calls are made again after a pause,
- *   and none hangs before one was answered, or the store's return would be noticed a whole wait late.
- * - The history that a watch would go on from is gone. Everything is listed anew.
+ * - The store is down, rejects calls, or its answers are lost. Calls are repeated after a pause, and calls do not wait
+ *   at the store until one has been answered; otherwise the end of an outage could be detected too late by a whole wait.
+ * - The store no longer keeps the changes from which a watch would continue. All items are listed again.
  * - The store is restored from an older copy. Its revisions go back and are assigned again, so a watch that
  *   continues from the last known revision could miss changes. Each answer includes the store's era; when it
  *   increases, everything is listed again.
- * - A connection falls silent for good. A watch is asked to end after a wait, and one that has not ended
- *   a margin later is given up; news are then late by that much and no more.
+ * - A connection stops delivering data without being closed. The store is asked to end a watch after a maximum wait,
+ *   and a call that takes longer than that wait and a margin is aborted. This bounds the delay of changes.
  */
 
 import type { Stream } from 'most';
@@ -21,29 +21,29 @@
 import type { IRandom } from '../../../base/common/random';
 import type { ITimerService } from '../../../base/common/timerService';
 import { waitFor } from '../../../base/common/waitFor';
-import type { WatchFigures } from '../../following/common/watchPace';
-import { planWatch, WatchPace } from '../../following/common/watchPace';
-import type { IStoreClient, StoreEra, StoreFault, StoreItem, StorePage } from './storeClient';
-import { StoreFaultKind } from './storeClient';
+import type { WatchTimings } from '../../following/common/watchBackoff';
+import { computeWatchTimings, WatchBackoff } from '../../following/common/watchBackoff';
+import type { IStoreClient, StoreEra, StoreError, StoreItem, StorePage } from './storeClient';
+import { StoreErrorKind } from './storeClient';
 import type { MirrorChange } from './storeMirror';
 import { StoreMirror } from './storeMirror';
 
-/** A change of the items followed. */
+/** A change of the items below the prefix. */
 export interface FollowedChange extends MirrorChange {
 	readonly revision: number;
 	/**
-	 * The store has just come back from an outage or was restored from an older copy: healthy targets may write
-	 * missing entries again shortly.
+	 * Whether the store has just recovered from an outage or was restored from an older copy. Healthy targets may
+	 * write missing entries again shortly.
 	 */
 	readonly isAfterOutage: boolean;
 }
 
-/** The store was lost or is back. */
-export interface StoreReach {
+/** The store became unreachable or reachable. */
+export interface StoreReachability {
 	readonly isReached: boolean;
-	/** Why it was lost. */
+	/** Why the store is unreachable; empty when it is reachable again. */
 	readonly detail: string;
-	/** How long it was away, in milliseconds; 0 for a loss. */
+	/** Duration of the outage in milliseconds; 0 when it begins. */
 	readonly awayMs: number;
 }
 
@@ -51,75 +51,75 @@
 export interface StoreRestore {
 	readonly fromEra: StoreEra;
 	readonly toEra: StoreEra;
-	/** The revision up to which all changes were held. */
+	/** The revision up to which all changes had been applied. */
 	readonly heldRevision: number;
-	/** The store's revision in the answer that showed the restore, if it included one. */
+	/** The store's revision in the answer that revealed the restore, if it included one. */
 	readonly foundRevision: number | undefined;
 }
 
-/** What a call to the store asks. */
+/** Kind of a call to the store. */
 export enum StoreCallKind {
 	List = 'list',
 	Watch = 'watch',
 }
 
-/** How a call to the store ended; told of each call, so that an outage can be followed call by call. */
+/** Result of a call to the store; emitted for every call, so that an outage can be analysed call by call. */
 export interface StoreCallEnd {
 	readonly call: StoreCallKind;
-	/** The revision up to which all changes were held when the call was made. */
+	/** The revision up to which all changes had been applied when the call was made. */
 	readonly heldRevision: number;
-	/** How long the store was asked to hold the call, in milliseconds. */
+	/** How long the store was asked to wait for a change, in milliseconds. */
 	readonly waitMs: number;
 	readonly tookMs: number;
-	/** It was answered with items or changes. */
-	readonly hasNews: boolean;
-	/** Why it gave nothing, or undefined for an answer. */
-	readonly fault: StoreFault | undefined;
+	/** Whether the answer contained items or changes. */
+	readonly hasData: boolean;
+	/** Why the call failed, or undefined if it was answered. */
+	readonly fault: StoreError | undefined;
 	readonly era: StoreEra | undefined;
 }
 
-/** Calls that fail for less than this are no outage: entries do not lapse in it. */
-const outageMs = 1_000;
+/** Shorter periods of failed calls are not an outage, since entries do not expire within them. */
+const minOutageMs = 1_000;
 
-/** How long after an outage its traces may last. */
-const settleMs = 2_500;
+/** How long after an outage a change may still be an effect of it. */
+const recoveryGraceMs = 2_500;
 
-/** Emits the changes of one prefix until disposed of. */
+/** Emits the changes of one prefix until it is disposed. */
 export class StoreFollower extends Disposable {
 	private readonly abort = new AbortController();
 	private readonly mirror = new StoreMirror();
 	private readonly changes = this.register(new Channel<FollowedChange>());
-	private readonly reaches = this.register(new Channel<StoreReach>());
+	private readonly reachabilityChanges = this.register(new Channel<StoreReachability>());
 	private readonly callEnds = this.register(new Channel<StoreCallEnd>());
 	private readonly restores = this.register(new Channel<StoreRestore>());
-	private readonly figures: WatchFigures;
-	private readonly pace: WatchPace;
-	private hanging: AbortController | undefined;
-	/** Those who wait for the next read to end. */
-	private readonly refreshing: (() => void)[] = [];
+	private readonly timings: WatchTimings;
+	private readonly backoff: WatchBackoff;
+	private currentCall: AbortController | undefined;
+	/** Resolves the pending `refresh` calls when the next read ends. */
+	private readonly pendingRefreshes: (() => void)[] = [];
 	private era: StoreEra | undefined;
-	/** Number of restores detected; a listing during which it changes is restarted, a failed read repeated at once. */
+	/** Number of restores detected; if it changes, a listing is restarted and a failed read is repeated without a pause. */
 	private restoreCount = 0;
-	private reachedMs: number | undefined;
-	private lostMs: number | undefined;
-	private regainedMs = Number.NEGATIVE_INFINITY;
+	private lastAnswerMs: number | undefined;
+	private unreachableSinceMs: number | undefined;
+	private recoveredMs = Number.NEGATIVE_INFINITY;
 
 	readonly onDidChange: Stream<FollowedChange> = this.changes.stream;
-	readonly onDidChangeReach: Stream<StoreReach> = this.reaches.stream;
+	readonly onDidChangeReachability: Stream<StoreReachability> = this.reachabilityChanges.stream;
 	readonly onDidEndCall: Stream<StoreCallEnd> = this.callEnds.stream;
 	readonly onDidRestore: Stream<StoreRestore> = this.restores.stream;
 
-	/** @param newsWithinMs By how many milliseconds a change may be late once the store answers. */
+	/** @param maxDelayMs Maximum delay in milliseconds with which a change is received while the store answers. */
 	constructor(
 		private readonly prefix: string,
 		private readonly client: IStoreClient,
 		private readonly timers: ITimerService,
 		random: IRandom,
-		newsWithinMs: number,
+		maxDelayMs: number,
 	) {
 		super();
-		this.figures = planWatch(newsWithinMs);
-		this.pace = new WatchPace(this.figures, random);
+		this.timings = computeWatchTimings(maxDelayMs);
+		this.backoff = new WatchBackoff(this.timings, random);
 		this.register(
 			toDisposable(() => {
 				this.abort.abort();
@@ -127,7 +127,7 @@
 		);
 	}
 
-	/** Follows until disposed of. */
+	/** Reads changes until disposed. */
 	async follow(): Promise<void> {
 		while (!this.abort.signal.aborted) {
 			await this.readOnce();
@@ -135,19 +135,19 @@
 	}
 
 	/** Milliseconds since the store last answered, or undefined before the first answer. */
-	getSilenceMs(): number | undefined {
-		return this.reachedMs === undefined ? undefined : this.timers.getNow() - this.reachedMs;
+	getTimeSinceAnswerMs(): number | undefined {
+		return this.lastAnswerMs === undefined ? undefined : this.timers.getNow() - this.lastAnswerMs;
 	}
 
 	/**
-	 * Asks the store for what there is now in place of hanging on; ends when it has answered or failed to. After
-	 * a sleep the call that hangs may be on a connection that is long gone.
+	 * Aborts the current call and asks the store for the present state without waiting. Resolves when that read has
+	 * succeeded or failed. Used after the process was suspended, when the connection of the current call may be dead.
 	 */
 	async refresh(): Promise<void> {
-		this.pace.noteDoubted();
+		this.backoff.markStale();
 		await new Promise<void>(resolve => {
-			this.refreshing.push(resolve);
-			this.hanging?.abort();
+			this.pendingRefreshes.push(resolve);
+			this.currentCall?.abort();
 		});
 	}
 
@@ -156,84 +156,84 @@
 		return this.era;
 	}
 
-	/** Takes the era seen by another follower of the same store; if it is higher than the known one, lists again. */
-	noteEra(era: StoreEra): void {
+	/** Applies the era seen by another follower of the same store; if it is higher than the known one, lists again. */
+	updateEra(era: StoreEra): void {
 		if (this.era !== undefined && era > this.era) {
-			this.noteRestored(era, undefined);
-			this.hanging?.abort();
+			this.handleRestore(era, undefined);
+			this.currentCall?.abort();
 		}
 	}
 
 	private async readOnce(): Promise<void> {
-		const refreshing = this.refreshing.splice(0);
-		await this.readAndTell();
-		for (const resolve of refreshing) {
+		const refreshes = this.pendingRefreshes.splice(0);
+		await this.readAndEmit();
+		for (const resolve of refreshes) {
 			resolve();
 		}
 	}
 
-	private async readAndTell(): Promise<void> {
+	private async readAndEmit(): Promise<void> {
 		const { restoreCount } = this;
 		const read = this.mirror.revision === 0 ? await this.listAll() : await this.watchOnce();
 		const isRestored = restoreCount !== this.restoreCount;
-		if (this.abort.signal.aborted || (read.isErr() && (isRestored || this.refreshing.length > 0))) {
+		if (this.abort.signal.aborted || (read.isErr() && (isRestored || this.pendingRefreshes.length > 0))) {
 			return;
 		}
 		if (read.isErr()) {
-			this.noteFault(read.error);
-			await waitFor(this.timers, this.pace.computePauseMs(), this.abort.signal);
+			this.recordFailure(read.error);
+			await waitFor(this.timers, this.backoff.computePauseMs(), this.abort.signal);
 			return;
 		}
-		this.noteReached();
+		this.recordAnswer();
 		if (read.value.written.length > 0 || read.value.removed.length > 0) {
 			const nowMs = this.timers.getNow();
 			this.changes.emit({
 				...read.value,
 				revision: this.mirror.revision,
-				isAfterOutage: nowMs - this.regainedMs < settleMs,
+				isAfterOutage: nowMs - this.recoveredMs < recoveryGraceMs,
 			});
 		}
 	}
 
-	private async watchOnce(): Promise<Result<MirrorChange, StoreFault>> {
-		const { leastPauseMs } = this.figures;
-		const waitMs = this.pace.planWaitMs();
+	private async watchOnce(): Promise<Result<MirrorChange, StoreError>> {
+		const { minPauseMs } = this.timings;
+		const waitMs = this.backoff.computeWaitMs();
 		const startedMs = this.timers.getNow();
-		const news = await this.fetchWithin(
+		const result = await this.fetchWithTimeout(
 			StoreCallKind.Watch,
 			waitMs,
 			signal => this.client.watch(this.prefix, this.mirror.revision, waitMs, signal),
 			({ changes }) => changes.length > 0,
 		);
-		if (news.isErr() && news.error.kind === StoreFaultKind.HistoryGone) {
+		if (result.isErr() && result.error.kind === StoreErrorKind.HistoryGone) {
 			return this.listAll();
 		}
-		const isEmpty = news.isOk() && news.value.changes.length === 0;
-		if (isEmpty && waitMs > 0 && this.timers.getNow() - startedMs < leastPauseMs) {
-			// A store that ends a waiting watch at once must not be asked again in a tight loop.
-			await waitFor(this.timers, leastPauseMs, this.abort.signal);
+		const isEmpty = result.isOk() && result.value.changes.length === 0;
+		if (isEmpty && waitMs > 0 && this.timers.getNow() - startedMs < minPauseMs) {
+			// Prevents a tight loop if the store ends watches without waiting.
+			await waitFor(this.timers, minPauseMs, this.abort.signal);
 		}
-		return news.map(value => this.mirror.apply(value));
+		return result.map(value => this.mirror.apply(value));
 	}
 
-	private async listAll(): Promise<Result<MirrorChange, StoreFault>> {
+	private async listAll(): Promise<Result<MirrorChange, StoreError>> {
 		const items: StoreItem[] = [];
 		const { restoreCount } = this;
 		let revision: number | undefined;
 		for (;;) {
 			const afterKey = items.at(-1)?.key;
-			const page = await this.fetchWithin(
+			const page = await this.fetchWithTimeout(
 				StoreCallKind.List,
 				0,
 				signal => this.client.list(this.prefix, afterKey, signal),
-				({ items: found }) => found.length > 0,
+				({ items: listed }) => listed.length > 0,
 			);
 			if (page.isErr()) {
 				return err(page.error);
 			}
 			if (restoreCount !== this.restoreCount) {
 				return err({
-					kind: StoreFaultKind.Restored,
+					kind: StoreErrorKind.Restored,
 					detail: 'store restored between two pages of a listing',
 				});
 			}
@@ -245,42 +245,42 @@
 		}
 	}
 
-	/** A call that is given up when it takes longer than its wait and the margin. */
-	private async fetchWithin<TValue extends Partial<Pick<StorePage, 'revision' | 'era'>>>(
+	/** Makes a call and aborts it if it takes longer than its wait and the answer timeout. */
+	private async fetchWithTimeout<TValue extends Partial<Pick<StorePage, 'revision' | 'era'>>>(
 		call: StoreCallKind,
 		waitMs: number,
-		fetch: (signal: AbortSignal) => Promise<Result<TValue, StoreFault>>,
-		hasNews: (answer: TValue) => boolean,
-	): Promise<Result<TValue, StoreFault>> {
+		fetch: (signal: AbortSignal) => Promise<Result<TValue, StoreError>>,
+		hasData: (answer: TValue) => boolean,
+	): Promise<Result<TValue, StoreError>> {
 		const startedMs = this.timers.getNow();
 		const heldRevision = this.mirror.revision;
-		const limit = new AbortController();
-		this.hanging = limit;
-		const timer = this.timers.schedule(waitMs + this.figures.answerMs, () => {
-			limit.abort();
+		const callController = new AbortController();
+		this.currentCall = callController;
+		const timer = this.timers.schedule(waitMs + this.timings.answerTimeoutMs, () => {
+			callController.abort();
 		});
 		try {
-			const answer = await fetch(AbortSignal.any([this.abort.signal, limit.signal]));
+			const answer = await fetch(AbortSignal.any([this.abort.signal, callController.signal]));
 			this.callEnds.emit({
 				call,
 				heldRevision,
 				waitMs,
 				tookMs: this.timers.getNow() - startedMs,
-				hasNews: answer.isOk() && hasNews(answer.value),
+				hasData: answer.isOk() && hasData(answer.value),
 				fault: answer.isErr() ? answer.error : undefined,
 				era: getEra(answer),
 			});
 			return this.checkEra(answer);
 		} finally {
-			this.hanging = undefined;
+			this.currentCall = undefined;
 			timer.dispose();
 		}
 	}
 
-	/** Returns a fault for the first answer of a higher era and for every answer of a lower era. */
+	/** Returns an error for the first answer of a higher era and for every answer of a lower era. */
 	private checkEra<TValue extends Partial<Pick<StorePage, 'revision' | 'era'>>>(
-		answer: Result<TValue, StoreFault>,
-	): Result<TValue, StoreFault> {
+		answer: Result<TValue, StoreError>,
+	): Result<TValue, StoreError> {
 		const era = getEra(answer);
 		if (era === undefined || era === this.era) {
 			return answer;
@@ -291,47 +291,47 @@
 		}
 		if (era < this.era) {
 			const detail = `answer of era ${era} received after era ${this.era}`;
-			return err({ kind: StoreFaultKind.Outdated, detail });
+			return err({ kind: StoreErrorKind.Outdated, detail });
 		}
-		this.noteRestored(era, answer.isOk() ? answer.value.revision : undefined);
-		return err({ kind: StoreFaultKind.Restored, detail: `store restored, era is now ${era}` });
+		this.handleRestore(era, answer.isOk() ? answer.value.revision : undefined);
+		return err({ kind: StoreErrorKind.Restored, detail: `store restored, era is now ${era}` });
 	}
 
-	private noteRestored(toEra: StoreEra, foundRevision: number | undefined): void {
+	private handleRestore(toEra: StoreEra, foundRevision: number | undefined): void {
 		const fromEra = this.era ?? toEra;
 		const heldRevision = this.mirror.revision;
 		this.era = toEra;
 		this.restoreCount++;
-		this.regainedMs = this.timers.getNow();
-		this.mirror.noteRestored();
+		this.recoveredMs = this.timers.getNow();
+		this.mirror.markRestored();
 		this.restores.emit({ fromEra, toEra, heldRevision, foundRevision });
 	}
 
-	private noteFault({ detail }: StoreFault): void {
-		this.pace.noteFailed();
-		if (this.lostMs !== undefined) {
+	private recordFailure({ detail }: StoreError): void {
+		this.backoff.recordFailure();
+		if (this.unreachableSinceMs !== undefined) {
 			return;
 		}
-		this.lostMs = this.timers.getNow();
-		this.reaches.emit({ isReached: false, detail, awayMs: 0 });
+		this.unreachableSinceMs = this.timers.getNow();
+		this.reachabilityChanges.emit({ isReached: false, detail, awayMs: 0 });
 	}
 
-	private noteReached(): void {
+	private recordAnswer(): void {
 		const nowMs = this.timers.getNow();
-		this.pace.noteAnswered();
-		this.reachedMs = nowMs;
-		if (this.lostMs === undefined) {
+		this.backoff.recordAnswer();
+		this.lastAnswerMs = nowMs;
+		if (this.unreachableSinceMs === undefined) {
 			return;
 		}
-		const awayMs = nowMs - this.lostMs;
-		this.lostMs = undefined;
-		if (awayMs >= outageMs) {
-			this.regainedMs = nowMs;
+		const awayMs = nowMs - this.unreachableSinceMs;
+		this.unreachableSinceMs = undefined;
+		if (awayMs >= minOutageMs) {
+			this.recoveredMs = nowMs;
 		}
-		this.reaches.emit({ isReached: true, detail: '', awayMs });
+		this.reachabilityChanges.emit({ isReached: true, detail: '', awayMs });
 	}
 }
 
-function getEra(answer: Result<{ readonly era?: StoreEra | undefined }, StoreFault>): StoreEra | undefined {
+function getEra(answer: Result<{ readonly era?: StoreEra | undefined }, StoreError>): StoreEra | undefined {
 	return answer.isOk() ? answer.value.era : answer.error.era;
 }
--- a/src/core/store/test/storeFollower.test.ts
+++ b/src/core/store/test/storeFollower.test.ts
@@ -6,17 +6,17 @@
 import type {
 	IStoreClient,
 	StoreChange,
-	StoreFault,
+	StoreError,
 	StoreItem,
-	StoreNews,
+	StoreWatchResult,
 	StorePage,
 } from '../common/storeClient';
-import { StoreChangeKind, StoreFaultKind } from '../common/storeClient';
-import type { FollowedChange, StoreCallEnd, StoreReach } from '../common/storeFollower';
+import { StoreChangeKind, StoreErrorKind } from '../common/storeClient';
+import type { FollowedChange, StoreCallEnd, StoreReachability } from '../common/storeFollower';
 import { StoreCallKind, StoreFollower } from '../common/storeFollower';
 import { StoreMirror } from '../common/storeMirror';
 
-const newsWithinMs = 5_000;
+const maxDelayMs = 5_000;
 
 function createItem(key: string, revision: number): StoreItem {
 	return { key, value: Buffer.from(key), revision };
@@ -30,9 +30,9 @@
 	return { kind: StoreChangeKind.Removed, key, revision };
 }
 
-type Answer<TValue> = Result<TValue, StoreFault>;
+type Answer<TValue> = Result<TValue, StoreError>;
 
-/** A store that answers each call when the test says so. */
+/** A store whose calls are answered by the test. */
 class ScriptedStore implements IStoreClient {
 	readonly calls: string[] = [];
 	private readonly answers: ((answer: Answer<never>) => void)[] = [];
@@ -41,7 +41,12 @@
 		return this.open(`list ${prefix} after ${afterKey ?? 'nothing'}`, signal);
 	}
 
-	watch(prefix: string, after: number, _waitMs: number, signal: AbortSignal): Promise<Answer<StoreNews>> {
+	watch(
+		prefix: string,
+		after: number,
+		_waitMs: number,
+		signal: AbortSignal,
+	): Promise<Answer<StoreWatchResult>> {
 		return this.open(`watch ${prefix} after ${after}`, signal);
 	}
 
@@ -49,13 +54,13 @@
 		return Promise.resolve();
 	}
 
-	async answer(value: StorePage | StoreNews): Promise<void> {
+	async answer(value: StorePage | StoreWatchResult): Promise<void> {
 		this.answers.shift()?.(ok(value) as unknown as Answer<never>);
 		await waitForPromises();
 	}
 
-	async fail(kind: StoreFaultKind): Promise<void> {
-		this.answers.shift()?.(err({ kind, detail: 'as the test says' }));
+	async fail(kind: StoreErrorKind): Promise<void> {
+		this.answers.shift()?.(err({ kind, detail: 'scripted error' }));
 		await waitForPromises();
 	}
 
@@ -66,7 +71,7 @@
 			this.answers.push(answer);
 			signal.addEventListener('abort', () => {
 				this.answers.splice(this.answers.indexOf(answer), 1);
-				resolve(err({ kind: StoreFaultKind.Unreachable, detail: 'given up' }));
+				resolve(err({ kind: StoreErrorKind.Unreachable, detail: 'call aborted' }));
 			});
 		});
 	}
@@ -83,7 +88,7 @@
 	readonly store: ScriptedStore;
 	readonly timers: ManualTimerService;
 	readonly changes: FollowedChange[];
-	readonly reaches: StoreReach[];
+	readonly reachabilityChanges: StoreReachability[];
 	readonly callEnds: StoreCallEnd[];
 	advance(ms: number): Promise<void>;
 	stop(): void;
@@ -92,12 +97,12 @@
 async function startFollowing(): Promise<Following> {
 	const store = new ScriptedStore();
 	const timers = new ManualTimerService();
-	const follower = new StoreFollower('servers/', store, timers, new SeededRandom(1), newsWithinMs);
+	const follower = new StoreFollower('servers/', store, timers, new SeededRandom(1), maxDelayMs);
 	const changes: FollowedChange[] = [];
-	const reaches: StoreReach[] = [];
+	const reachabilityChanges: StoreReachability[] = [];
 	const callEnds: StoreCallEnd[] = [];
 	subscribeTo(follower.onDidChange, change => changes.push(change));
-	subscribeTo(follower.onDidChangeReach, reach => reaches.push(reach));
+	subscribeTo(follower.onDidChangeReachability, reach => reachabilityChanges.push(reach));
 	subscribeTo(follower.onDidEndCall, end => callEnds.push(end));
 	void follower.follow();
 	await waitForPromises();
@@ -106,7 +111,7 @@
 		store,
 		timers,
 		changes,
-		reaches,
+		reachabilityChanges,
 		callEnds,
 		advance: async ms => {
 			timers.advance(ms);
@@ -119,7 +124,7 @@
 }
 
 describe('StoreMirror', () => {
-	it('takes nothing twice that a page showed already', () => {
+	it('ignores a change that a page already included', () => {
 		const mirror = new StoreMirror();
 		mirror.putAll([createItem('a', 5), createItem('b', 9)], 7);
 		const change = mirror.apply({ changes: [createWrite('b', 9), createWrite('c', 10)], revision: 10 });
@@ -127,7 +132,7 @@
 		expect(mirror.revision).toBe(10);
 	});
 
-	it('tells a key that was removed and written again as written alone', () => {
+	it('reports a key that was removed and written again only as written', () => {
 		const mirror = new StoreMirror();
 		mirror.putAll([createItem('a', 1)], 1);
 		const change = mirror.apply({ changes: [createRemoval('a', 2), createWrite('a', 3)], revision: 3 });
@@ -137,7 +142,7 @@
 });
 
 describe('StoreFollower', () => {
-	it('lists all pages, and goes on from the revision of the first', async () => {
+	it('lists all pages and continues from the revision of the first', async () => {
 		const { store, changes, stop } = await startFollowing();
 		await store.answer({ items: [createItem('servers/a', 3)], hasMore: true, revision: 4 });
 		await store.answer({ items: [createItem('servers/b', 5)], hasMore: false, revision: 6 });
@@ -150,68 +155,68 @@
 		stop();
 	});
 
-	// The store drops its history sooner than usual, and the watch has nothing to go on from. A follower that
-	// asked for the same revision again and again would never hear of a target again.
-	it('lists anew when the history is gone', async () => {
+	// Guards against a follower that repeats a watch from a revision that the store no longer keeps, and so never
+	// receives a change again.
+	it('lists again when the store no longer keeps the history', async () => {
 		const { store, changes, stop } = await startFollowing();
 		await store.answer({ items: [createItem('servers/a', 3)], hasMore: false, revision: 4 });
-		await store.fail(StoreFaultKind.HistoryGone);
+		await store.fail(StoreErrorKind.HistoryGone);
 		await store.answer({ items: [createItem('servers/b', 9)], hasMore: false, revision: 9 });
 		expect(changes.at(-1)).toMatchObject({ removed: ['servers/a'], revision: 9, isAfterOutage: false });
 		expect(store.calls.at(-1)).toBe('watch servers/ after 9');
 		stop();
 	});
 
-	// A connection falls silent for good: the watch neither ends nor fails. Waited for without an end, a target
-	// that leaves would go on getting requests.
-	it('gives up a watch that outlives its wait, and asks again', async () => {
-		const { store, advance, reaches, stop } = await startFollowing();
+	// Guards against an unbounded wait when a connection stops delivering data and the watch neither ends nor fails: a
+	// target that leaves would continue to receive requests.
+	it('aborts a watch that exceeds its wait and calls again', async () => {
+		const { store, advance, reachabilityChanges, stop } = await startFollowing();
 		await store.answer({ items: [createItem('servers/a', 3)], hasMore: false, revision: 4 });
 		await advance(7_000);
 		await advance(2_000);
 		expect(store.calls.filter(call => call.startsWith('watch'))).toHaveLength(2);
-		expect(reaches.map(({ isReached }) => isReached)).toEqual([false]);
+		expect(reachabilityChanges.map(({ isReached }) => isReached)).toEqual([false]);
 		stop();
 	});
 
-	// The store is away for seconds, and registrations lapse meanwhile. What is read first on its return must be
-	// told as such, or each return empties a region.
-	it('marks what it reads just after an outage', async () => {
-		const { store, advance, changes, reaches, stop } = await startFollowing();
+	// Guards against removing all targets of a region after each outage of the store: registrations expire during the
+	// outage, so the first changes read after it must be marked.
+	it('marks changes read just after an outage', async () => {
+		const { store, advance, changes, reachabilityChanges, stop } = await startFollowing();
 		await store.answer({ items: [createItem('servers/a', 3)], hasMore: false, revision: 4 });
-		await store.fail(StoreFaultKind.Refused);
+		await store.fail(StoreErrorKind.Refused);
 		await advance(1_500);
-		await store.fail(StoreFaultKind.Refused);
+		await store.fail(StoreErrorKind.Refused);
 		await advance(1_500);
 		await store.answer({ changes: [createRemoval('servers/a', 6)], revision: 6 });
 		expect(changes.at(-1)).toMatchObject({ removed: ['servers/a'], isAfterOutage: true });
-		expect(reaches.map(({ isReached }) => isReached)).toEqual([false, true]);
+		expect(reachabilityChanges.map(({ isReached }) => isReached)).toEqual([false, true]);
 		stop();
 	});
 
-	// The store is lost and an entry goes on with what it holds. Whoever looks into it afterwards must see which
-	// calls were made, what they asked and how long they hung; that the store was lost and is back says neither.
-	it('tells of each call what it asked, how long it took and why it failed', async () => {
+	// Guards against outages that cannot be analysed: the log must show which calls were made during an outage, with
+	// their parameters and durations, and not only that the store was unreachable.
+	it('emits the parameters, duration and error of each call', async () => {
 		const { store, advance, callEnds, stop } = await startFollowing();
 		await store.answer({ items: [createItem('servers/a', 3)], hasMore: false, revision: 4 });
 		await advance(300);
-		await store.fail(StoreFaultKind.Refused);
+		await store.fail(StoreErrorKind.Refused);
 		expect(callEnds).toMatchObject([
-			{ call: StoreCallKind.List, heldRevision: 0, waitMs: 0, tookMs: 0, hasNews: true, fault: undefined },
+			{ call: StoreCallKind.List, heldRevision: 0, waitMs: 0, tookMs: 0, hasData: true, fault: undefined },
 			{
 				call: StoreCallKind.Watch,
 				heldRevision: 4,
 				tookMs: 300,
-				fault: { kind: StoreFaultKind.Refused },
+				fault: { kind: StoreErrorKind.Refused },
 			},
 		]);
 		stop();
 	});
 
-	// A process is frozen for some seconds, and the connection on which its watch hangs is gone when it wakes. Left
-	// hanging, it holds the first requests for state that never comes, and serves on by what was true before.
-	it('asks anew in place of hanging on, and tells when it knows', async () => {
-		const { store, follower, changes, reaches, stop } = await startFollowing();
+	// Guards against waiting on a dead connection after the process was frozen for some seconds: the first requests
+	// would be held for state that never arrives, or served by outdated state.
+	it('aborts the waiting watch on refresh and resolves after the next answer', async () => {
+		const { store, follower, changes, reachabilityChanges, stop } = await startFollowing();
 		await store.answer({ items: [createItem('servers/a', 3)], hasMore: false, revision: 4 });
 		let isRefreshed = false;
 		void follower.refresh().then(() => {
@@ -223,13 +228,13 @@
 		await store.answer({ changes: [createRemoval('servers/a', 6)], revision: 6 });
 		expect(isRefreshed).toBe(true);
 		expect(changes.at(-1)).toMatchObject({ removed: ['servers/a'] });
-		expect(reaches).toEqual([]);
+		expect(reachabilityChanges).toEqual([]);
 		stop();
 	});
 
-	it('pauses between calls that fail', async () => {
+	it('pauses between failed calls', async () => {
 		const { store, advance, stop } = await startFollowing();
-		await store.fail(StoreFaultKind.Unreachable);
+		await store.fail(StoreErrorKind.Unreachable);
 		expect(store.calls).toHaveLength(1);
 		await advance(1_200);
 		expect(store.calls).toHaveLength(2);
--- a/src/entry/common/requests/requestLifecycle.ts
+++ b/src/entry/common/requests/requestLifecycle.ts
@@ -16,7 +16,7 @@
 import type { RequestError } from '../../../core/errors/common/errorKinds';
 import { getOutcomeOf } from '../../../core/errors/common/errorKinds';
 import { Outcome } from '../../../core/errors/common/outcome';
-import { TypedChart, TypedWalk } from '../../../core/charts/common/typedChart';
+import { TypedChart, TypedStateMachine } from '../../../core/charts/common/typedChart';
 
 /** The states of the request chart. */
 export enum RequestState {
@@ -113,7 +113,7 @@
 
 /** The current state of one request on the chart. */
 export class RequestLifecycle {
-	private readonly walk = new TypedWalk(requestChart);
+	private readonly walk = new TypedStateMachine(requestChart);
 
 	getState(): RequestState {
 		return this.walk.getState();
--- a/src/entry/node/fleet/entryFleet.ts
+++ b/src/entry/node/fleet/entryFleet.ts
@@ -11,8 +11,8 @@
 import type { ITimerService } from '../../../base/common/timerService';
 import type { IAuditTrail } from '../../../core/audit/common/auditTrail';
 import type { InstanceId, RegionName, ServiceName, ZoneName } from '../../../core/ids/common/ids';
-import { InstanceState } from '../../../core/instances/common/instanceLife';
-import { InstanceLives } from '../../../core/instances/common/instanceLives';
+import { InstanceState } from '../../../core/instances/common/instanceLifecycle';
+import { InstanceLifecycles } from '../../../core/instances/common/instanceLifecycles';
 import type { InstanceList, ListedInstance } from '../../../core/platformClient/common/instanceList';
 import { ListedState } from '../../../core/platformClient/common/instanceList';
 import type { EntryView as WireView } from '../../../gen/anvilroad/peer/v1/peer_pb';
@@ -57,7 +57,7 @@
 	private readonly fleetView: FleetView;
 	private readonly exchangePlan: ExchangePlanner;
 	private readonly contacts: PeerContacts;
-	private readonly lifecycles: InstanceLives;
+	private readonly lifecycles: InstanceLifecycles;
 	private readonly viewReceived = this.register(new Channel<EntryView>());
 
 	/** Emits each view that is newer than the stored one, with its age on arrival. */
@@ -75,7 +75,9 @@
 		this.fleetView = new FleetView(localEntry.id);
 		this.exchangePlan = new ExchangePlanner(localEntry, this.fleetView, random);
 		this.contacts = new PeerContacts(localEntry, this.fleetView, this.exchangePlan, random);
-		this.lifecycles = this.register(new InstanceLives(auditTrail, new FleetSilenceLimits(this.fleetView)));
+		this.lifecycles = this.register(
+			new InstanceLifecycles(auditTrail, new FleetSilenceLimits(this.fleetView)),
+		);
 		this.register(
 			subscribeTo(timers.watchTicks(periodMs), ({ nowMs, elapsedMs }) => {
 				this.noteOwnSleep(Math.max(0, elapsedMs - periodMs));
@@ -85,7 +87,7 @@
 		);
 	}
 
-	getLifecycles(): InstanceLives {
+	getLifecycles(): InstanceLifecycles {
 		return this.lifecycles;
 	}
 
@@ -175,7 +177,7 @@
 	}
 
 	private findState(view: EntryView): InstanceState {
-		return this.lifecycles.findBoot(view.bootId)?.life.getState() ?? InstanceState.Gone;
+		return this.lifecycles.findBoot(view.bootId)?.lifecycle.getState() ?? InstanceState.Gone;
 	}
 
 	private createCandidate(known: KnownInstance, service: ServiceName | undefined): LookupCandidate {
@@ -197,7 +199,7 @@
 		const nowMs = this.timers.getNow();
 		for (const view of this.fleetView.merge(views, nowMs)) {
 			const { instance, bootId, peerUrl, isLeaving, ageMs } = view;
-			this.lifecycles.noteHeard(
+			this.lifecycles.noteReport(
 				{ instance, boot: bootId, peerUrl, isLeaving, ageMs },
 				`peer ${source}`,
 				nowMs,
@@ -209,7 +211,7 @@
 	/** Does not count time that this process was suspended as silence of the other entries. */
 	private noteOwnSleep(sleptMs: number): void {
 		this.fleetView.noteOwnSleep(sleptMs);
-		this.lifecycles.noteOwnSleep(sleptMs);
+		this.lifecycles.noteProcessPause(sleptMs);
 	}
 
 	private expire(nowMs: number): void {
--- a/src/entry/node/fleet/fleetSilenceLimits.ts
+++ b/src/entry/node/fleet/fleetSilenceLimits.ts
@@ -5,18 +5,18 @@
  * large a share of the targets.
  */
 
-import type { SilenceLimits } from '../../../core/instances/common/instanceLife';
+import type { SilenceTimeouts } from '../../../core/instances/common/instanceLifecycle';
 import type { FleetView } from '../../common/fleetView/fleetView';
 
 /** Computes the limits from the fleet view on each access. */
-export class FleetSilenceLimits implements SilenceLimits {
+export class FleetSilenceLimits implements SilenceTimeouts {
 	constructor(private readonly views: FleetView) {}
 
-	get suspectMs(): number {
+	get suspectAfterMs(): number {
 		return this.views.computeSuspectTimeout();
 	}
 
-	get forgetMs(): number {
+	get removeAfterMs(): number {
 		return this.views.computeExpiryTimeout();
 	}
 }
--- a/src/entry/node/targets/targetRegistry.ts
+++ b/src/entry/node/targets/targetRegistry.ts
@@ -15,8 +15,8 @@
 import { TargetRole } from '../../../core/manifest/common/manifest';
 import type { InstanceList } from '../../../core/platformClient/common/instanceList';
 import { ListedState } from '../../../core/platformClient/common/instanceList';
-import type { ListedTarget } from '../../../core/targets/common/targetLife';
-import { TargetLives } from '../../../core/targets/common/targetLives';
+import type { ListedTarget } from '../../../core/targets/common/targetLifecycle';
+import { TargetLifecycles } from '../../../core/targets/common/targetLifecycles';
 import type { AnswerHead } from '../../common/callers/answerSink';
 import { findHeader } from '../../common/callers/callHead';
 import type { AnswerMetadata } from '../../common/dialect/targetDialect';
@@ -44,7 +44,7 @@
 export class TargetRegistry extends Disposable implements ITargetRegistry {
 	private readonly clients = new Map<TargetId, OpenClient>();
 	private readonly changes = this.register(new Channel<ServiceName>());
-	private readonly lifecycles: TargetLives;
+	private readonly lifecycles: TargetLifecycles;
 	private readonly lastSigns = new Map<string, string>();
 	private manifest: IndexedManifest | undefined;
 	private listedTargets: ReadonlyMap<TargetId, ListedTarget> | undefined;
@@ -58,7 +58,7 @@
 		private readonly timers: ITimerService,
 	) {
 		super();
-		this.lifecycles = this.register(new TargetLives(auditTrail));
+		this.lifecycles = this.register(new TargetLifecycles(auditTrail));
 		this.register(
 			subscribeTo(auditTrail.onDidRecord, ({ kind, subject, sign }) => {
 				if (kind === AuditKind.Target) {
@@ -106,11 +106,11 @@
 	}
 
 	noteLeavingReportedByPeer(targets: readonly TargetId[]): void {
-		this.lifecycles.notePeerWords(targets, this.timers.getNow());
+		this.lifecycles.noteLeavingReportedByPeer(targets, this.timers.getNow());
 	}
 
 	listSelfReportedLeaving(): readonly TargetId[] {
-		return this.lifecycles.listLeavingByOwnWord();
+		return this.lifecycles.listSelfReportedLeaving();
 	}
 
 	/** Lists the service's targets in this region as input for its scheduler. */
@@ -135,12 +135,12 @@
 		return this.listManifestTargets(service).map(({ id, zone }) => ({
 			id,
 			zone,
-			state: this.lifecycles.findLife(id)?.getState() ?? 'unknown',
+			state: this.lifecycles.findLifecycle(id)?.getState() ?? 'unknown',
 			lastSign: this.lastSigns.get(id) ?? '',
 		}));
 	}
 
-	getLifecycles(): TargetLives {
+	getLifecycles(): TargetLifecycles {
 		return this.lifecycles;
 	}
 
@@ -154,9 +154,9 @@
 	}
 
 	noteAnswerHead(target: TargetId, head: AnswerHead, { isLeaving }: Pick<AnswerMetadata, 'isLeaving'>): void {
-		const lifecycle = this.lifecycles.findLife(target);
+		const lifecycle = this.lifecycles.findLifecycle(target);
 		if (isLeaving) {
-			lifecycle?.noteOwnWord(this.timers.getNow());
+			lifecycle?.noteSelfReport(this.timers.getNow());
 			return;
 		}
 		lifecycle?.noteAnswer(hasCloseOption(findHeader(head.lines, 'connection')), this.timers.getNow());
@@ -180,7 +180,7 @@
 
 	noteAttemptEnd(target: TargetId, end: AttemptEnd): void {
 		if (end === AttemptEnd.NotConnected || end === AttemptEnd.Failed) {
-			this.lifecycles.findLife(target)?.noteFailure(this.timers.getNow());
+			this.lifecycles.findLifecycle(target)?.noteFailure(this.timers.getNow());
 		}
 	}
 
@@ -213,26 +213,26 @@
 	}
 
 	private startDueProbes(nowMs: number): void {
-		for (const target of this.lifecycles.startTrials(nowMs)) {
+		for (const target of this.lifecycles.startDueProbes(nowMs)) {
 			void this.probe(target);
 		}
 	}
 
 	private async probe(target: TargetId): Promise<void> {
 		const url = this.clients.get(target)?.url;
-		const lifecycle = this.lifecycles.findLife(target);
+		const lifecycle = this.lifecycles.findLifecycle(target);
 		if (url === undefined || lifecycle === undefined) {
 			return;
 		}
 		const answer = await probeTarget(url);
 		if (answer === undefined) {
-			lifecycle.noteTrialFailed(this.timers.getNow());
+			lifecycle.noteProbeFailed(this.timers.getNow());
 			return;
 		}
 		if (answer.isLeaving) {
-			lifecycle.noteOwnWord(this.timers.getNow());
+			lifecycle.noteSelfReport(this.timers.getNow());
 			return;
 		}
-		lifecycle.noteTrialAnswered(answer.isClosingConnection, this.timers.getNow());
+		lifecycle.noteProbeAnswered(answer.isClosingConnection, this.timers.getNow());
 	}
 }
--- a/src/entry/node/test/sleepDetector.test.ts
+++ b/src/entry/node/test/sleepDetector.test.ts
@@ -40,7 +40,7 @@
 		// it resumes. Handled immediately, the request would be sent to the target that left.
 		const sleeper = createDetector();
 		sleeper.timers.advance(1_000);
-		sleeper.timers.advanceAsleep(60_000);
+		sleeper.timers.advanceWithoutTimers(60_000);
 		const hold = sleeper.detector.findHold();
 		expect(hold).toBeDefined();
 		expect(sleeper.sleepDurationsMs).toHaveLength(1);
@@ -52,7 +52,7 @@
 	it('continues with the state it has if no answer arrives', async () => {
 		// The region was isolated meanwhile. Without a time limit its own callers would never get an answer.
 		const sleeper = createDetector();
-		sleeper.timers.advanceAsleep(60_000);
+		sleeper.timers.advanceWithoutTimers(60_000);
 		const hold = sleeper.detector.findHold();
 		sleeper.timers.advance(1_000);
 		await hold;
