--- a/src/load/common/answerCheck.ts
+++ b/src/load/common/answerCheck.ts
@@ -1,62 +1,62 @@
 /**
- * Judges one answer. A load figure is worth something only if the answers behind it were right, so every
- * one is checked: status, outcome and, for an echo, each byte.
+ * Checks the answer to one request of a load run. Throughput and latency are meaningful only for correct answers,
+ * so the status, the outcome header and, if the target echoes the request body, every byte are checked.
  */
 
 import { Outcome } from '../../core/errors/common/outcome';
 import type { LoadOptions } from './loadOptions';
 
-/** How one request ended, as the tool counts it. */
+/** The result of a request. A run counts its requests by this kind. */
 export enum ResultKind {
-	/** A whole and right answer. */
+	/** The answer is complete and correct. */
 	Ok = 'ok',
-	/** Refused with the promise that it was not run. */
+	/** The request was refused, and its outcome header states that it was not run. */
 	Refused = 'refused',
-	/** Anything else. */
+	/** Any other error, including transport errors and incorrect answers. */
 	Failed = 'failed',
 }
 
-/** What came back for one request. */
+/** The parts of an answer that are checked. */
 export interface ReceivedAnswer {
 	readonly status: number;
-	/** The outcome header, if there was one. */
+	/** The value of the outcome header, if present. */
 	readonly outcome: string | undefined;
-	/** The error header, if there was one. */
+	/** The value of the error header, if present. */
 	readonly error: string | undefined;
 	readonly body: Uint8Array;
 }
 
-/** The verdict on one request; `reason` is empty for a right answer. */
-export interface AnswerVerdict {
+/** The result of one request. `reason` is empty if the answer is correct. */
+export interface RequestResult {
 	readonly kind: ResultKind;
 	readonly reason: string;
 }
 
-const answeredText: string = Outcome.Answered;
-const notRunText: string = Outcome.NotRun;
-const rightAnswer: AnswerVerdict = { kind: ResultKind.Ok, reason: '' };
-const firstErrorStatus = 300;
+const answeredOutcome: string = Outcome.Answered;
+const notRunOutcome: string = Outcome.NotRun;
+const okResult: RequestResult = { kind: ResultKind.Ok, reason: '' };
+const minUnsuccessfulStatus = 300;
 
-/** Judges an answer to a request that carried `sentBody`. */
+/** Checks the answer to a request with the body `sentBody`. */
 export function checkAnswer(
 	options: Pick<LoadOptions, 'isEcho' | 'isOutcomeExpected'>,
 	sentBody: Uint8Array,
 	answer: ReceivedAnswer,
-): AnswerVerdict {
-	if (answer.status >= firstErrorStatus) {
-		return createErrorVerdict(answer);
+): RequestResult {
+	if (answer.status >= minUnsuccessfulStatus) {
+		return createErrorResult(answer);
 	}
-	if (options.isOutcomeExpected && answer.outcome !== answeredText) {
+	if (options.isOutcomeExpected && answer.outcome !== answeredOutcome) {
 		return { kind: ResultKind.Failed, reason: `outcome ${answer.outcome ?? 'missing'}` };
 	}
 	if (options.isEcho && !isSameBytes(sentBody, answer.body)) {
 		return { kind: ResultKind.Failed, reason: 'the body is not the one that was sent' };
 	}
-	return rightAnswer;
+	return okResult;
 }
 
-function createErrorVerdict(answer: ReceivedAnswer): AnswerVerdict {
-	const kind = answer.outcome === notRunText ? ResultKind.Refused : ResultKind.Failed;
+function createErrorResult(answer: ReceivedAnswer): RequestResult {
+	const kind = answer.outcome === notRunOutcome ? ResultKind.Refused : ResultKind.Failed;
 	return { kind, reason: answer.error ?? `status ${answer.status}` };
 }
 
--- a/src/load/common/arrivalPlan.ts
+++ b/src/load/common/arrivalPlan.ts
@@ -1,54 +1,57 @@
 /**
- * Arrival times of an open run, drawn before it begins. Latency is counted from these times: a generator
- * that waits for a slow answer before it sends the next request leaves out just those requests that would
- * have waited longest, and reports a stalled service as a fast one (coordinated omission).
+ * Computes the arrival times of an open-loop run before the run starts. Latency is measured from these planned
+ * times. A generator that waits for a slow answer before it sends the next request omits the requests that would
+ * have waited longest, and reports a stalled service as fast (coordinated omission).
  */
 
 import type { IRandom } from '../../base/common/random';
 import type { LoadOptions } from './loadOptions';
 import { ArrivalProfile } from './loadOptions';
 
-/** One period of the burst profile, in milliseconds. */
+/** Length of one period of the burst profile, in milliseconds. */
 export const burstPeriodMs = 2_000;
-/** How long the peak at the start of a period lasts, in milliseconds. */
-export const burstLengthMs = 200;
-/** The peak's rate as a multiple of the mean rate. */
-export const burstFactor = 5.5;
+/** Duration of the peak at the start of each period, in milliseconds. */
+export const burstPeakMs = 200;
+/** Request rate during the peak, as a multiple of the mean rate. */
+export const burstPeakFactor = 5.5;
 
-/** What a plan depends on. */
-export type ArrivalQuestion = Pick<LoadOptions, 'ratePerSecond' | 'durationMs' | 'profile'>;
+/** The load options that determine the arrival times. */
+export type ArrivalOptions = Pick<LoadOptions, 'ratePerSecond' | 'durationMs' | 'profile'>;
 
-/** Gives the arrival times in milliseconds from the start of the run, ascending and below its duration. */
-export function planArrivals(question: ArrivalQuestion, random: IRandom): number[] {
-	const ratePerMs = question.ratePerSecond / 1_000;
+/** Returns the arrival times in milliseconds since the start of the run, in ascending order and below its duration. */
+export function planArrivals(options: ArrivalOptions, random: IRandom): number[] {
+	const ratePerMs = options.ratePerSecond / 1_000;
 	const arrivals: number[] = [];
 	let expectedCount = 0;
 	for (;;) {
-		const atMs = computeArrival(question.profile, expectedCount / ratePerMs);
-		if (atMs >= question.durationMs) {
+		const atMs = computeArrivalMs(options.profile, expectedCount / ratePerMs);
+		if (atMs >= options.durationMs) {
 			return arrivals;
 		}
 		arrivals.push(atMs);
-		expectedCount += question.profile === ArrivalProfile.Steady ? 1 : pickGap(random);
+		expectedCount += options.profile === ArrivalProfile.Steady ? 1 : pickExponentialGap(random);
 	}
 }
 
-/** An exponentially distributed gap with mean 1. */
-function pickGap(random: IRandom): number {
+/** Returns an exponentially distributed gap with a mean of 1. */
+function pickExponentialGap(random: IRandom): number {
 	return -Math.log(1 - random.pickFraction());
 }
 
-/** Maps the time at which a steady rate would have brought an arrival to the profile's time for it. */
-function computeArrival(profile: ArrivalProfile, steadyMs: number): number {
+/**
+ * Maps the time of an arrival at a constant rate to its time in the profile. For the burst profile, each period is
+ * compressed during the peak and stretched after it, which keeps the mean rate.
+ */
+function computeArrivalMs(profile: ArrivalProfile, steadyMs: number): number {
 	if (profile !== ArrivalProfile.Burst) {
 		return steadyMs;
 	}
 	const periodStartMs = Math.floor(steadyMs / burstPeriodMs) * burstPeriodMs;
-	const insideMs = steadyMs - periodStartMs;
-	const peakShareMs = burstLengthMs * burstFactor;
-	if (insideMs < peakShareMs) {
-		return periodStartMs + insideMs / burstFactor;
+	const offsetMs = steadyMs - periodStartMs;
+	const steadyMsInPeak = burstPeakMs * burstPeakFactor;
+	if (offsetMs < steadyMsInPeak) {
+		return periodStartMs + offsetMs / burstPeakFactor;
 	}
-	const quietFactor = (burstPeriodMs - peakShareMs) / (burstPeriodMs - burstLengthMs);
-	return periodStartMs + burstLengthMs + (insideMs - peakShareMs) / quietFactor;
+	const offPeakFactor = (burstPeriodMs - steadyMsInPeak) / (burstPeriodMs - burstPeakMs);
+	return periodStartMs + burstPeakMs + (offsetMs - steadyMsInPeak) / offPeakFactor;
 }
--- a/src/load/common/comparison.ts
+++ b/src/load/common/comparison.ts
@@ -1,54 +1,54 @@
 /**
- * A comparison of ways to the same target within one run. Rounds alternate between the ways and shift
- * their order each time, since a machine's speed drifts by more than the differences sought: figures from
- * separate runs would compare the minutes in which they were taken. Ratios are taken within each round
- * and told with their spread over the rounds.
+ * Compares several routes to the same target within one run. The speed of a machine varies over time by more than
+ * the routes differ, so results of separate runs are not comparable. Each round therefore measures every route, in
+ * an order that rotates from round to round. Ratios are computed within each round and reported as their median and
+ * range over the rounds.
  */
 
 import type { LoadSummary } from './loadStatistics';
 import { formatMs } from './loadReport';
 import { renderTable } from '../../base/common/textTable';
 
-/** A way from the caller to the target. */
-export enum Way {
+/** A route from the caller to the target. */
+export enum Route {
 	Direct = 'direct',
-	/** Through the bare pass-through. */
+	/** Through a minimal reverse proxy, see `passThrough.ts`. */
 	Baseline = 'baseline',
-	/** Through an anvilroad entry. */
+	/** Through an `anvilroad-entry` process. */
 	Entry = 'entry',
 }
 
-/** What one way gave in one round. */
-export interface WayResult {
-	readonly way: Way;
-	/** The open part: latencies at a fixed rate. */
+/** The measurements of one route in one round. */
+export interface RouteResult {
+	readonly way: Route;
+	/** Open-loop part: latencies at a fixed request rate. */
 	readonly open: LoadSummary;
-	/** The closed part: as many requests as the connections carry. */
+	/** Closed-loop part: each connection sends its next request as soon as its last one is answered. */
 	readonly closed: LoadSummary;
-	/** Processor seconds that the process between caller and target spent on the closed part. */
+	/** CPU seconds that the process between caller and target used during the closed-loop part, if known. */
 	readonly closedProcessorSeconds: number | undefined;
 }
 
-export type Round = readonly WayResult[];
+export type Round = readonly RouteResult[];
 
-/** A value over the rounds. */
+/** Median and range of a metric over all rounds. */
 export interface Spread {
 	readonly median: number;
 	readonly least: number;
 	readonly most: number;
 }
 
-/** One figure of one way against another. */
-export interface RatioLine {
+/** A metric of route `of` divided by the same metric of route `to`. */
+export interface MetricRatio {
 	readonly figure: string;
-	readonly of: Way;
-	readonly to: Way;
+	readonly of: Route;
+	readonly to: Route;
 	readonly spread: Spread;
 }
 
-/** One figure of one way. */
-export interface FigureLine {
-	readonly way: Way;
+/** The metrics of one route over all rounds. */
+export interface RouteMetrics {
+	readonly way: Route;
 	readonly p50Ms: Spread;
 	readonly p99Ms: Spread;
 	readonly okPerSecond: Spread;
@@ -56,63 +56,65 @@
 	readonly failed: number;
 }
 
-/** The whole comparison, as it goes into the JSON file. */
+/** The comparison as written to the JSON file. */
 export interface ComparisonReport {
 	readonly rounds: readonly Round[];
-	readonly figures: readonly FigureLine[];
-	readonly ratios: readonly RatioLine[];
+	readonly figures: readonly RouteMetrics[];
+	readonly ratios: readonly MetricRatio[];
 }
 
-type Figure = (result: WayResult) => number | undefined;
+type Metric = (result: RouteResult) => number | undefined;
 
-const figures: Readonly<Record<string, Figure>> = {
+const ratioMetrics: Readonly<Record<string, Metric>> = {
 	p50: result => result.open.p50Ms,
 	p99: result => result.open.p99Ms,
 	'requests/s/core': computeOkPerCoreSecond,
 };
 
-/** The order of the ways in a round: each way takes each place equally often. */
-export function orderWays(ways: readonly Way[], roundIndex: number): Way[] {
-	const first = roundIndex % ways.length;
-	return [...ways.slice(first), ...ways.slice(0, first)];
+/** Returns the order of the routes in a round. It rotates, so that each route takes each position equally often. */
+export function orderRoutes(routes: readonly Route[], roundIndex: number): Route[] {
+	const first = roundIndex % routes.length;
+	return [...routes.slice(first), ...routes.slice(0, first)];
 }
 
-/** Right answers for each second of one core. */
-export function computeOkPerCoreSecond(result: WayResult): number | undefined {
+/** Returns the number of correct answers per CPU second, or undefined if the CPU time is unknown. */
+export function computeOkPerCoreSecond(result: RouteResult): number | undefined {
 	const seconds = result.closedProcessorSeconds;
 	return seconds === undefined || seconds <= 0 ? undefined : result.closed.ok / seconds;
 }
 
-/** Median and range; undefined for no values. */
+/** Returns the median and the range of the values, or undefined if there are none. */
 export function computeSpread(values: readonly number[]): Spread | undefined {
 	const sorted = [...values].sort((left, right) => left - right);
 	const least = sorted[0];
 	const most = sorted.at(-1);
-	const lower = sorted[Math.floor((sorted.length - 1) / 2)];
-	const upper = sorted[Math.floor(sorted.length / 2)];
-	if (least === undefined || most === undefined || lower === undefined || upper === undefined) {
+	const lowerMiddle = sorted[Math.floor((sorted.length - 1) / 2)];
+	const upperMiddle = sorted[Math.floor(sorted.length / 2)];
+	if (least === undefined || most === undefined || lowerMiddle === undefined || upperMiddle === undefined) {
 		return undefined;
 	}
-	return { least, most, median: (lower + upper) / 2 };
+	return { least, most, median: (lowerMiddle + upperMiddle) / 2 };
 }
 
-/** Sums up the rounds. */
-export function createReport(rounds: readonly Round[]): ComparisonReport {
-	const ways = [Way.Direct, Way.Baseline, Way.Entry].filter(way => listResults(rounds, way).length > 0);
-	const pairs = ways.flatMap((to, index) => ways.slice(index + 1).map(of => ({ of, to })));
+/** Summarizes the rounds of a comparison. */
+export function createComparisonReport(rounds: readonly Round[]): ComparisonReport {
+	const routes = [Route.Direct, Route.Baseline, Route.Entry].filter(
+		route => listResults(rounds, route).length > 0,
+	);
+	const pairs = routes.flatMap((to, index) => routes.slice(index + 1).map(of => ({ of, to })));
 	return {
 		rounds,
-		figures: ways.map(way => createFigureLine(rounds, way)),
-		ratios: Object.entries(figures).flatMap(([name, figure]) =>
-			pairs.flatMap(({ of, to }) => createRatioLines(rounds, name, figure, of, to)),
+		figures: routes.map(route => createRouteMetrics(rounds, route)),
+		ratios: Object.entries(ratioMetrics).flatMap(([name, metric]) =>
+			pairs.flatMap(({ of, to }) => createMetricRatios(rounds, name, metric, of, to)),
 		),
 	};
 }
 
-/** The two tables of a comparison. */
-export function renderReport(report: ComparisonReport): string {
-	const figureHead = ['way', 'p50', 'p99', 'ok/s (closed)', 'requests/s/core', 'failed'];
-	const figureRows = report.figures.map(line => [
+/** Formats a comparison as two text tables: the metrics of each route, and the ratios between routes. */
+export function renderComparisonReport(report: ComparisonReport): string {
+	const metricHead = ['way', 'p50', 'p99', 'ok/s (closed)', 'requests/s/core', 'failed'];
+	const metricRows = report.figures.map(line => [
 		line.way,
 		formatMs(line.p50Ms.median),
 		formatMs(line.p99Ms.median),
@@ -129,47 +131,52 @@
 	]);
 	return [
 		`${report.rounds.length} rounds; medians over the rounds`,
-		renderTable(figureHead, figureRows),
+		renderTable(metricHead, metricRows),
 		'',
 		renderTable(ratioHead, ratioRows),
 	].join('\n');
 }
 
-function listResults(rounds: readonly Round[], way: Way): WayResult[] {
-	return rounds.flatMap(round => round.filter(result => result.way === way));
+function listResults(rounds: readonly Round[], route: Route): RouteResult[] {
+	return rounds.flatMap(round => round.filter(result => result.way === route));
 }
 
-function createFigureLine(rounds: readonly Round[], way: Way): FigureLine {
-	const results = listResults(rounds, way);
+function createRouteMetrics(rounds: readonly Round[], route: Route): RouteMetrics {
+	const results = listResults(rounds, route);
 	const none: Spread = { median: 0, least: 0, most: 0 };
-	const measureSpread = (figure: Figure): Spread | undefined =>
-		computeSpread(results.flatMap(result => figure(result) ?? []));
+	const computeMetricSpread = (metric: Metric): Spread | undefined =>
+		computeSpread(results.flatMap(result => metric(result) ?? []));
 	return {
-		way,
-		p50Ms: measureSpread(result => result.open.p50Ms) ?? none,
-		p99Ms: measureSpread(result => result.open.p99Ms) ?? none,
-		okPerSecond: measureSpread(result => result.closed.okPerSecond) ?? none,
-		okPerCoreSecond: measureSpread(computeOkPerCoreSecond),
-		failed: results.reduce((sum, { open, closed }) => sum + countWrong(open) + countWrong(closed), 0),
+		way: route,
+		p50Ms: computeMetricSpread(result => result.open.p50Ms) ?? none,
+		p99Ms: computeMetricSpread(result => result.open.p99Ms) ?? none,
+		okPerSecond: computeMetricSpread(result => result.closed.okPerSecond) ?? none,
+		okPerCoreSecond: computeMetricSpread(computeOkPerCoreSecond),
+		failed: results.reduce(
+			(sum, { open, closed }) => sum + countUnsuccessful(open) + countUnsuccessful(closed),
+			0,
+		),
 	};
 }
 
-function countWrong(summary: LoadSummary): number {
+function countUnsuccessful(summary: LoadSummary): number {
 	return summary.failed + summary.refused;
 }
 
-function createRatioLines(
+function createMetricRatios(
 	rounds: readonly Round[],
-	figureName: string,
-	figure: Figure,
-	of: Way,
-	to: Way,
-): RatioLine[] {
+	metricName: string,
+	metric: Metric,
+	of: Route,
+	to: Route,
+): MetricRatio[] {
 	const ratios = rounds.flatMap(round => {
-		const upper = round.filter(result => result.way === of).flatMap(result => figure(result) ?? [])[0];
-		const lower = round.filter(result => result.way === to).flatMap(result => figure(result) ?? [])[0];
-		return upper === undefined || lower === undefined || lower === 0 ? [] : [upper / lower];
+		const numerator = round.filter(result => result.way === of).flatMap(result => metric(result) ?? [])[0];
+		const denominator = round.filter(result => result.way === to).flatMap(result => metric(result) ?? [])[0];
+		return numerator === undefined || denominator === undefined || denominator === 0
+			? []
+			: [numerator / denominator];
 	});
 	const spread = computeSpread(ratios);
-	return spread === undefined ? [] : [{ figure: figureName, of, to, spread }];
+	return spread === undefined ? [] : [{ figure: metricName, of, to, spread }];
 }
--- a/src/load/common/loadOptions.ts
+++ b/src/load/common/loadOptions.ts
@@ -1,7 +1,7 @@
 /**
- * What a load run is asked to do, checked before the first request leaves. The tool is for benches on one
- * machine: it refuses every host but loopback and bounds rate, duration and size, so that a slip on the
- * command line cannot load somebody else's service or fill the machine.
+ * The options of a load run and their validation. The tool is meant for benchmarks on one machine. It accepts only
+ * loopback hosts and limits rate, duration and body size, so that a mistake on the command line cannot put load on
+ * another service or exhaust the machine.
  */
 
 import type { Result } from 'neverthrow';
@@ -9,75 +9,75 @@
 import { z } from 'zod';
 import { RequestClass } from '../../core/requests/common/requestClass';
 
-/** When the next request leaves. */
+/** Determines when the next request is sent. */
 export enum LoadMode {
-	/** At its planned time, however many answers are still awaited. */
+	/** Open loop: at its planned time, regardless of how many requests are in flight. */
 	Open = 'open',
-	/** When a connection is free, so the rate follows the answers. */
+	/** Closed loop: as soon as a connection is free, so that the rate depends on the response times. */
 	Closed = 'closed',
 }
 
-/** How planned arrivals are spread over an open run. */
+/** Distribution of the planned arrivals over an open-loop run. */
 export enum ArrivalProfile {
 	Steady = 'steady',
 	Poisson = 'poisson',
-	/** Poisson at half of the mean rate with a short peak in each period. */
+	/** Poisson arrivals at half of the mean rate, with a short peak at the start of each period. */
 	Burst = 'burst',
 }
 
-/** The longest run, in milliseconds. */
-export const longestRunMs = 120_000;
-/** The most arrivals that one run may plan. */
-export const mostArrivals = 2_000_000;
-const highestRate = 50_000;
-const mostConnections = 1_024;
-const largestBodyBytes = 16 * 1_048_576;
-const longestDeadlineMs = 86_400_000;
-const loopbackHost = /^(127\.\d{1,3}\.\d{1,3}\.\d{1,3}|\[::1\]|localhost)$/;
+/** Longest duration of a run, in milliseconds. */
+export const maxRunDurationMs = 120_000;
+/** Largest number of requests that one run may plan. */
+export const maxPlannedArrivals = 2_000_000;
+const maxRatePerSecond = 50_000;
+const maxConnectionsPerUrl = 1_024;
+const maxBodyBytes = 16 * 1_048_576;
+const maxDeadlineMs = 86_400_000;
+const loopbackHostPattern = /^(127\.\d{1,3}\.\d{1,3}\.\d{1,3}|\[::1\]|localhost)$/;
 
-/** Whether a URL leads to this machine only. */
+/** Returns whether the host of a URL is a loopback address. */
 export function isLoopbackUrl(url: string): boolean {
-	return URL.canParse(url) && loopbackHost.test(new URL(url).hostname);
+	return URL.canParse(url) && loopbackHostPattern.test(new URL(url).hostname);
 }
 
-/** A base URL on loopback, normalized to its origin. */
-export const loopbackUrl = z
+/** Parses a base URL with a loopback host and normalizes it to its origin. */
+export const loopbackOriginSchema = z
 	.string()
-	.refine(isLoopbackUrl, 'only loopback hosts are loaded: 127.0.0.1, [::1] or localhost')
+	.refine(isLoopbackUrl, 'only loopback hosts are allowed: 127.0.0.1, [::1] or localhost')
 	.transform(url => new URL(url).origin);
 
 const loadOptionsSchema = z.strictObject({
-	targetUrls: z.array(loopbackUrl).min(1, 'at least one base URL is needed'),
-	path: z.string().startsWith('/', 'begins with /'),
-	method: z.string().regex(/^[A-Z]+$/, 'an HTTP method in capitals'),
-	bodyBytes: z.number().int().min(0).max(largestBodyBytes),
-	/** Mean rate of an open run, in requests a second. */
-	ratePerSecond: z.number().positive().max(highestRate),
-	durationMs: z.number().int().positive().max(longestRunMs),
+	targetUrls: z.array(loopbackOriginSchema).min(1, 'at least one base URL is required'),
+	path: z.string().startsWith('/', 'must begin with /'),
+	method: z.string().regex(/^[A-Z]+$/, 'must be an HTTP method in upper case'),
+	bodyBytes: z.number().int().min(0).max(maxBodyBytes),
+	/** Mean rate of an open-loop run, in requests per second. */
+	ratePerSecond: z.number().positive().max(maxRatePerSecond),
+	durationMs: z.number().int().positive().max(maxRunDurationMs),
 	mode: z.enum(LoadMode),
 	profile: z.enum(ArrivalProfile),
-	/** Connections to each base URL. */
-	connections: z.number().int().positive().max(mostConnections),
+	/** Number of connections to each base URL. */
+	connections: z.number().int().positive().max(maxConnectionsPerUrl),
 	seed: z.number().int(),
 	organisation: z.string().min(1).optional(),
 	requestClass: z.enum(RequestClass).optional(),
-	deadlineMs: z.number().int().positive().max(longestDeadlineMs).optional(),
-	/** Whether each answer must hold the body that was sent, byte for byte. */
+	deadlineMs: z.number().int().positive().max(maxDeadlineMs).optional(),
+	/** Whether the body of each answer must equal the body of its request. */
 	isEcho: z.boolean(),
-	/** Whether each answer must carry an outcome, as those of an entry do. */
+	/** Whether each successful answer must have the outcome header with the value for an answered request. */
 	isOutcomeExpected: z.boolean(),
 });
 
 export type LoadOptions = z.output<typeof loadOptionsSchema>;
 
-/** Checks options whole; each fault is one line that names the option. */
+/** Validates all options. Each error is one line that begins with the name of the option. */
 export function checkLoadOptions(raw: z.input<typeof loadOptionsSchema>): Result<LoadOptions, string[]> {
 	const parsed = loadOptionsSchema.safeParse(raw);
 	if (!parsed.success) {
 		return err(parsed.error.issues.map(issue => `${issue.path.join('.')}: ${issue.message}`));
 	}
-	if ((parsed.data.ratePerSecond * parsed.data.durationMs) / 1_000 > mostArrivals) {
-		return err([`ratePerSecond: rate and duration together plan more than ${mostArrivals} requests`]);
+	if ((parsed.data.ratePerSecond * parsed.data.durationMs) / 1_000 > maxPlannedArrivals) {
+		return err([`ratePerSecond: rate and duration would plan more than ${maxPlannedArrivals} requests`]);
 	}
 	return ok(parsed.data);
 }
--- a/src/load/common/loadReport.ts
+++ b/src/load/common/loadReport.ts
@@ -1,18 +1,18 @@
 /**
- * The result of a run as a person reads it.
+ * Formats the result of a load run as text.
  */
 
 import type { LoadSummary } from './loadStatistics';
 import { renderTable } from '../../base/common/textTable';
 
-const latencyDigits = 2;
+const latencyDecimals = 2;
 
-/** A latency, as `1.23 ms`. */
+/** Formats a duration, for example as `1.23 ms`. */
 export function formatMs(valueMs: number): string {
-	return `${valueMs.toFixed(latencyDigits)} ms`;
+	return `${valueMs.toFixed(latencyDecimals)} ms`;
 }
 
-/** One line of figures, and below it what went wrong, most frequent first. */
+/** Formats a summary as a table with one row, followed by the reasons for unsuccessful requests by frequency. */
 export function renderSummary(summary: LoadSummary): string {
 	const head = ['count', 'ok', 'refused', 'failed', 'ok/s', 'p50', 'p90', 'p99', 'max', 'send lag p99'];
 	const row = [
--- a/src/load/common/loadStatistics.ts
+++ b/src/load/common/loadStatistics.ts
@@ -1,36 +1,39 @@
 /**
- * Counts and latencies of one run. Latencies go into HDR histograms, which keep three digits at any size
- * in constant memory, so a run's tail is exact whatever its length.
+ * Collects the request counts and latencies of one run. Latencies are recorded in HDR histograms, which keep three
+ * significant digits for every value in constant memory, so that high percentiles stay accurate in long runs.
  */
 
 import type { Histogram } from 'hdr-histogram-js';
 import { build } from 'hdr-histogram-js';
-import type { AnswerVerdict } from './answerCheck';
+import type { RequestResult } from './answerCheck';
 import { ResultKind } from './answerCheck';
 
 const microsecondsPerMs = 1_000;
-const highestLatencyUs = 600_000_000;
-const latencyDigits = 3;
+const maxLatencyUs = 600_000_000;
+const latencySignificantDigits = 3;
 
-/** How often something went wrong in one way. */
+/** Number of unsuccessful requests with the same reason. */
 export interface ReasonCount {
 	readonly reason: string;
 	readonly count: number;
 }
 
-/** The result of one run. Latencies are those of right answers, in milliseconds. */
+/** The result of one run. Latencies are in milliseconds and include correct answers only. */
 export interface LoadSummary {
 	readonly count: number;
 	readonly ok: number;
 	readonly refused: number;
 	readonly failed: number;
-	/** Right answers a second, over the time from the first arrival to the last answer. */
+	/** Correct answers per second, from the start of the run to the last answer. */
 	readonly okPerSecond: number;
 	readonly p50Ms: number;
 	readonly p90Ms: number;
 	readonly p99Ms: number;
 	readonly maxMs: number;
-	/** How late the tool itself sent requests, at its 99th percentile: large values spoil the run. */
+	/**
+	 * 99th percentile of the delay between the planned and the actual send time. A large value means that the load
+	 * generator itself was too slow, and the latencies of the run are not valid.
+	 */
 	readonly sendLagP99Ms: number;
 	readonly reasons: readonly ReasonCount[];
 }
@@ -38,44 +41,44 @@
 function createHistogram(): Histogram {
 	return build({
 		lowestDiscernibleValue: 1,
-		highestTrackableValue: highestLatencyUs,
-		numberOfSignificantValueDigits: latencyDigits,
+		highestTrackableValue: maxLatencyUs,
+		numberOfSignificantValueDigits: latencySignificantDigits,
 	});
 }
 
 function recordMs(histogram: Histogram, valueMs: number): void {
 	const valueUs = Math.round(valueMs * microsecondsPerMs);
-	histogram.recordValue(Math.min(highestLatencyUs, Math.max(0, valueUs)));
+	histogram.recordValue(Math.min(maxLatencyUs, Math.max(0, valueUs)));
 }
 
 function readMs(histogram: Histogram, percentile: number): number {
 	return histogram.getValueAtPercentile(percentile) / microsecondsPerMs;
 }
 
-/** Gathers the results of one run. */
+/** Records the results of the requests of one run. */
 export class LoadRecorder {
 	private readonly latencies = createHistogram();
 	private readonly sendLags = createHistogram();
 	private readonly counts = new Map<ResultKind, number>();
 	private readonly reasonCounts = new Map<string, number>();
 
-	/** Notes that a request left `lagMs` after its planned time. */
-	noteSent(lagMs: number): void {
+	/** Records that a request was sent `lagMs` after its planned time. */
+	recordSend(lagMs: number): void {
 		recordMs(this.sendLags, lagMs);
 	}
 
-	/** Notes the end of a request, `latencyMs` after its planned arrival. */
-	noteEnd(verdict: AnswerVerdict, latencyMs: number): void {
-		this.counts.set(verdict.kind, this.getCount(verdict.kind) + 1);
-		if (verdict.kind === ResultKind.Ok) {
+	/** Records the result of a request, `latencyMs` after its planned arrival. */
+	recordResult(result: RequestResult, latencyMs: number): void {
+		this.counts.set(result.kind, this.getCount(result.kind) + 1);
+		if (result.kind === ResultKind.Ok) {
 			recordMs(this.latencies, latencyMs);
 			return;
 		}
-		this.reasonCounts.set(verdict.reason, (this.reasonCounts.get(verdict.reason) ?? 0) + 1);
+		this.reasonCounts.set(result.reason, (this.reasonCounts.get(result.reason) ?? 0) + 1);
 	}
 
-	/** The result so far, for a run that has lasted `tookMs`. */
-	measure(tookMs: number): LoadSummary {
+	/** Returns the result so far of a run that has lasted `elapsedMs`. */
+	createSummary(elapsedMs: number): LoadSummary {
 		const ok = this.getCount(ResultKind.Ok);
 		const refused = this.getCount(ResultKind.Refused);
 		const failed = this.getCount(ResultKind.Failed);
@@ -84,7 +87,7 @@
 			ok,
 			refused,
 			failed,
-			okPerSecond: tookMs > 0 ? (ok * 1_000) / tookMs : 0,
+			okPerSecond: elapsedMs > 0 ? (ok * 1_000) / elapsedMs : 0,
 			p50Ms: readMs(this.latencies, 50),
 			p90Ms: readMs(this.latencies, 90),
 			p99Ms: readMs(this.latencies, 99),
--- a/src/load/common/processStat.ts
+++ b/src/load/common/processStat.ts
@@ -1,21 +1,22 @@
 /**
- * Reads the processor time out of the text of a Linux `/proc/PID/stat` file (proc(5)).
+ * Parses the CPU time of a process from the text of a Linux `/proc/PID/stat` file (see proc(5)).
  */
 
-/** Clock ticks a second in `/proc`; fixed at 100 for user space on the architectures that Node runs on. */
+/** Clock ticks per second in `/proc`. User space sees 100 on all architectures that Node supports. */
 export const clockTicksPerSecond = 100;
 
-const userTimeField = 11;
-const systemTimeField = 12;
+/** Indexes of `utime` and `stime`, counted from the field after the command name. */
+const userTimeFieldIndex = 11;
+const systemTimeFieldIndex = 12;
 
-/** Processor seconds, user and system together, or undefined for a text of another form. */
+/** Returns the user and system CPU time in seconds, or undefined if the text cannot be parsed. */
 export function parseProcessorSeconds(statText: string): number | undefined {
-	// The command's name stands in parentheses and may itself hold spaces and parentheses; the fields that
-	// follow are counted from the last one, or a process with such a name would show another field's value.
+	// The command name is in parentheses and may itself contain spaces and parentheses. Fields are therefore
+	// counted from the last closing parenthesis, otherwise such a name would shift them.
 	const fields = statText
 		.slice(statText.lastIndexOf(')') + 1)
 		.trim()
 		.split(/\s+/);
-	const ticks = Number(fields[userTimeField]) + Number(fields[systemTimeField]);
+	const ticks = Number(fields[userTimeFieldIndex]) + Number(fields[systemTimeFieldIndex]);
 	return Number.isFinite(ticks) ? ticks / clockTicksPerSecond : undefined;
 }
--- a/src/load/node/commandOptions.ts
+++ b/src/load/node/commandOptions.ts
@@ -1,40 +1,44 @@
 /**
- * The command line of `anvilroad-load`: its options, and the load options that they make.
+ * Defines the command-line options of `anvilroad-load` and converts them to load options.
  */
 
 import type { InferredOptionTypes } from 'yargs';
 import { requestClasses } from '../../core/requests/common/requestClass';
 import { exitCodeBadUsage } from '../../core/settings/node/loadSettings';
 import type { LoadOptions } from '../common/loadOptions';
-import { ArrivalProfile, checkLoadOptions, LoadMode, longestRunMs } from '../common/loadOptions';
+import { ArrivalProfile, checkLoadOptions, LoadMode, maxRunDurationMs } from '../common/loadOptions';
 
-/** Options of every kind of run. */
+/** Options that `run` and `compare` have in common. */
 export const sharedOptions = {
-	path: { type: 'string', default: '/', describe: 'path and query of each request' },
+	path: { type: 'string', default: '/', describe: 'path and query string of each request' },
 	method: { type: 'string', default: 'GET' },
-	'body-bytes': { type: 'number', default: 0, describe: 'size of each request body' },
-	echo: { type: 'boolean', default: false, describe: 'check that each answer is the body sent' },
-	rate: { type: 'number', default: 100, describe: 'mean requests a second of an open run' },
+	'body-bytes': { type: 'number', default: 0, describe: 'size of each request body in bytes' },
+	echo: {
+		type: 'boolean',
+		default: false,
+		describe: 'check that the body of each answer equals the body of its request',
+	},
+	rate: { type: 'number', default: 100, describe: 'mean requests per second of an open-loop run' },
 	profile: { choices: Object.values(ArrivalProfile), default: ArrivalProfile.Poisson },
 	organisation: { type: 'string' },
 	class: { choices: requestClasses },
 	'deadline-ms': { type: 'number' },
-	seed: { type: 'number', default: 1, describe: 'the same seed plans the same arrivals and bodies' },
+	seed: { type: 'number', default: 1, describe: 'the same seed gives the same arrival times and bodies' },
 	connections: {
 		type: 'number',
 		default: 16,
-		describe: 'to each base URL; an open run that needs more than these waits for them',
+		describe: 'connections to each base URL; requests wait while all are in use',
 	},
-	json: { type: 'string', describe: 'file that takes the result as JSON' },
+	json: { type: 'string', describe: 'file to write the result to as JSON' },
 } as const;
 
 /** Options of `run`. */
 export const runOptions = {
 	...sharedOptions,
 	'target-url': { type: 'string', array: true, demandOption: true, describe: 'base URL; repeatable' },
-	'duration-ms': { type: 'number', default: 10_000, describe: `at most ${longestRunMs}` },
+	'duration-ms': { type: 'number', default: 10_000, describe: `at most ${maxRunDurationMs}` },
 	mode: { choices: Object.values(LoadMode), default: LoadMode.Open },
-	outcome: { type: 'boolean', describe: 'check the outcome header; the default for /v1/services/' },
+	outcome: { type: 'boolean', describe: 'check the outcome header; default for paths under /v1/services/' },
 } as const;
 
 /** Options of `compare`. */
@@ -42,20 +46,24 @@
 	...sharedOptions,
 	'direct-url': { type: 'string', demandOption: true, describe: 'base URL of the target itself' },
 	'baseline-url': { type: 'string', describe: 'base URL of a pass-through to the target' },
-	'baseline-pid': { type: 'number', describe: 'its process id, for processor time' },
+	'baseline-pid': { type: 'number', describe: 'process id of the pass-through, to measure its CPU time' },
 	'entry-url': { type: 'string', describe: 'base URL of an entry' },
-	'entry-pid': { type: 'number', describe: 'its process id, for processor time' },
-	service: { type: 'string', demandOption: true, describe: 'the service that the entry knows the target by' },
+	'entry-pid': { type: 'number', describe: 'process id of the entry, to measure its CPU time' },
+	service: {
+		type: 'string',
+		demandOption: true,
+		describe: 'name of the service that the target belongs to at the entry',
+	},
 	rounds: { type: 'number', default: 6 },
-	'round-ms': { type: 'number', default: 2_000, describe: 'length of each part of a round' },
+	'round-ms': { type: 'number', default: 2_000, describe: 'duration of each part of a round' },
 	'warm-up-ms': { type: 'number', default: 2_000 },
 } as const;
 
 /** Options of `pass-through`. */
 export const passThroughOptions = {
-	listen: { type: 'string', default: '127.0.0.1:0', describe: 'IP number and port' },
+	listen: { type: 'string', default: '127.0.0.1:0', describe: 'IP address and port' },
 	to: { type: 'string', demandOption: true, describe: 'base URL of the target' },
-	connections: { type: 'number', default: 64, describe: 'connections to the target' },
+	connections: { type: 'number', default: 64, describe: 'maximum number of connections to the target' },
 } as const;
 
 type SharedArguments = InferredOptionTypes<typeof sharedOptions>;
@@ -63,16 +71,16 @@
 export type CompareArguments = InferredOptionTypes<typeof compareOptions>;
 export type PassThroughArguments = InferredOptionTypes<typeof passThroughOptions>;
 
-/** What the kinds of runs add to the shared options. */
-export type OwnOptions = Pick<
+/** Load options that each command sets itself instead of taking them from the shared options. */
+export type CommandSpecificOptions = Pick<
 	LoadOptions,
 	'targetUrls' | 'path' | 'durationMs' | 'mode' | 'isOutcomeExpected'
 >;
 
-/** Makes checked load options, or prints each fault and ends the process with the exit code for bad usage. */
-export function createOptionsOrExit(args: SharedArguments, own: OwnOptions): LoadOptions {
+/** Returns validated load options. If they are invalid, prints each error and exits with the code for bad usage. */
+export function createOptionsOrExit(args: SharedArguments, specific: CommandSpecificOptions): LoadOptions {
 	const checked = checkLoadOptions({
-		...own,
+		...specific,
 		method: args.method,
 		bodyBytes: args['body-bytes'],
 		ratePerSecond: args.rate,
@@ -84,13 +92,13 @@
 		deadlineMs: args['deadline-ms'],
 		isEcho: args.echo,
 	});
-	return checked.isOk() ? checked.value : refuseUsage(checked.error);
+	return checked.isOk() ? checked.value : printUsageErrorsAndExit(checked.error);
 }
 
-/** Prints the faults of a command line and ends the process. */
-export function refuseUsage(faults: readonly string[]): never {
-	for (const fault of faults) {
-		process.stderr.write(`${fault}\n`);
+/** Prints command-line errors and exits the process with the code for bad usage. */
+export function printUsageErrorsAndExit(errors: readonly string[]): never {
+	for (const error of errors) {
+		process.stderr.write(`${error}\n`);
 	}
 	return process.exit(exitCodeBadUsage);
 }
--- a/src/load/node/comparisonRunner.ts
+++ b/src/load/node/comparisonRunner.ts
@@ -1,50 +1,50 @@
 /**
- * Carries a comparison out: for each round and each way an open part, which gives latencies at a fixed
- * rate, and a closed part, which gives the throughput for each core.
+ * Executes a comparison. Each round measures each route in two parts: an open-loop part for latencies at a fixed
+ * rate, and a closed-loop part for throughput per core.
  */
 
-import type { Round, Way, WayResult } from '../common/comparison';
-import { orderWays } from '../common/comparison';
+import type { Round, Route, RouteResult } from '../common/comparison';
+import { orderRoutes } from '../common/comparison';
 import type { LoadOptions } from '../common/loadOptions';
 import { LoadMode } from '../common/loadOptions';
 import type { LoadRunner } from './loadRunner';
 import { readProcessorSeconds } from './processorTime';
 
-/** A way and what its requests look like. */
-export interface ComparedWay {
-	readonly way: Way;
+/** A route and the options of its requests. */
+export interface ComparedRoute {
+	readonly way: Route;
 	readonly options: LoadOptions;
-	/** The process between caller and target, whose processor time is counted. */
+	/** The process between caller and target, whose CPU time is measured. */
 	readonly pid: number | undefined;
 }
 
-/** Alternates rounds between the ways. */
+/** Runs the rounds of a comparison. */
 export class ComparisonRunner {
 	constructor(
 		private readonly runner: LoadRunner,
-		private readonly ways: readonly ComparedWay[],
+		private readonly routes: readonly ComparedRoute[],
 	) {}
 
-	/** Runs each way once for `durationMs`, so that no measured round pays for a cold start. */
-	async start(durationMs: number): Promise<void> {
-		for (const { options } of this.ways) {
+	/** Sends load over each route for `durationMs`, so that no measured round includes a cold start. */
+	async runWarmUp(durationMs: number): Promise<void> {
+		for (const { options } of this.routes) {
 			await this.runner.run({ ...options, mode: LoadMode.Closed, durationMs });
 		}
 	}
 
 	async runRound(roundIndex: number): Promise<Round> {
-		const results: WayResult[] = [];
-		const names = this.ways.map(({ way }) => way);
-		for (const name of orderWays(names, roundIndex)) {
-			const compared = this.ways.find(({ way }) => way === name);
-			if (compared !== undefined) {
-				results.push(await this.measure(compared));
+		const results: RouteResult[] = [];
+		const names = this.routes.map(({ way }) => way);
+		for (const name of orderRoutes(names, roundIndex)) {
+			const route = this.routes.find(({ way }) => way === name);
+			if (route !== undefined) {
+				results.push(await this.measureRoute(route));
 			}
 		}
 		return results;
 	}
 
-	private async measure({ way, options, pid }: ComparedWay): Promise<WayResult> {
+	private async measureRoute({ way, options, pid }: ComparedRoute): Promise<RouteResult> {
 		const open = await this.runner.run({ ...options, mode: LoadMode.Open });
 		const before = await this.readSeconds(pid);
 		const closed = await this.runner.run({ ...options, mode: LoadMode.Closed });
--- a/src/load/node/loadClient.ts
+++ b/src/load/node/loadClient.ts
@@ -1,17 +1,17 @@
 /**
- * Sends one request of a load run and reads its whole answer.
+ * The HTTP client of a load run: sends requests, reads their complete answers and checks them.
  */
 
 import type { Dispatcher } from 'undici';
 import { Pool } from 'undici';
 import { headers } from '../../core/headers/common/headers';
-import type { AnswerVerdict, ReceivedAnswer } from '../common/answerCheck';
+import type { RequestResult, ReceivedAnswer } from '../common/answerCheck';
 import { checkAnswer, ResultKind } from '../common/answerCheck';
 import type { LoadOptions } from '../common/loadOptions';
 
 const answerTimeoutMs = 130_000;
 
-/** The connections of one run, shared out over its base URLs in turn. */
+/** The connection pools of one run, one per base URL. Requests are distributed over them round-robin. */
 export class LoadClient {
 	private readonly pools: readonly Pool[];
 	private readonly requestHeaders: Readonly<Record<string, string>>;
@@ -26,11 +26,11 @@
 					bodyTimeout: answerTimeoutMs,
 				}),
 		);
-		this.requestHeaders = createHeaders(options);
+		this.requestHeaders = createRequestHeaders(options);
 	}
 
-	/** Sends the request and judges its answer; a transport error is a verdict, too. */
-	async send(sequence: number, body: Buffer): Promise<AnswerVerdict> {
+	/** Sends a request and checks its answer. A transport error is returned as a failed result, not thrown. */
+	async send(sequence: number, body: Buffer): Promise<RequestResult> {
 		const pool = this.pools[sequence % this.pools.length];
 		if (pool === undefined) {
 			return { kind: ResultKind.Failed, reason: 'no base URL' };
@@ -62,7 +62,7 @@
 	}
 }
 
-function createHeaders(options: LoadOptions): Record<string, string> {
+function createRequestHeaders(options: LoadOptions): Record<string, string> {
 	const fields: [string, string | undefined][] = [
 		[headers.organisation, options.organisation],
 		[headers.requestClass, options.requestClass],
--- a/src/load/node/loadCommand.ts
+++ b/src/load/node/loadCommand.ts
@@ -1,5 +1,5 @@
 /**
- * The program `anvilroad-load`: its commands and what each prints.
+ * Implements the commands of `anvilroad-load` and prints their results.
  */
 
 import { writeFile } from 'node:fs/promises';
@@ -9,54 +9,54 @@
 import { listenAddress } from '../../core/settings/common/settingsTypes';
 import { exitCodeBadUsage } from '../../core/settings/node/loadSettings';
 import type { Round } from '../common/comparison';
-import { createReport, renderReport, Way } from '../common/comparison';
-import { LoadMode, longestRunMs, loopbackUrl } from '../common/loadOptions';
+import { createComparisonReport, renderComparisonReport, Route } from '../common/comparison';
+import { LoadMode, maxRunDurationMs, loopbackOriginSchema } from '../common/loadOptions';
 import { renderSummary } from '../common/loadReport';
 import type { CompareArguments, PassThroughArguments, RunArguments } from './commandOptions';
 import {
 	compareOptions,
 	createOptionsOrExit,
 	passThroughOptions,
-	refuseUsage,
+	printUsageErrorsAndExit,
 	runOptions,
 } from './commandOptions';
-import type { ComparedWay } from './comparisonRunner';
+import type { ComparedRoute } from './comparisonRunner';
 import { ComparisonRunner } from './comparisonRunner';
 import { LoadRunner } from './loadRunner';
 import { startPassThrough } from './passThrough';
 
-/** Exit code of a run in which a request failed or was refused. */
+/** Exit code if any request failed or was refused. */
 const exitCodeFailed = 1;
-/** The longest comparison without its warm-up, in milliseconds. */
-const longestComparisonMs = 600_000;
-const servicePrefix = '/v1/services/';
+/** Longest duration of a comparison without its warm-up, in milliseconds. */
+const maxComparisonMs = 600_000;
+const servicePathPrefix = '/v1/services/';
 
-/** Parses the command line and runs the command that it names. */
+/** Parses the command line and runs its command. */
 export async function runLoadProgram(commandLine: readonly string[], version: string): Promise<void> {
 	const { default: yargs } = await import('yargs');
 	await addCommands(yargs([...commandLine]).scriptName('anvilroad-load'))
-		.demandCommand(1, 'Name a command.')
+		.demandCommand(1, 'A command is required.')
 		.strict()
 		.version(version)
-		.epilogue('Exit codes: 0 fine, 1 a request failed or was refused, 2 bad usage.')
+		.epilogue('Exit codes: 0 success, 1 a request failed or was refused, 2 bad usage.')
 		.fail((message, error) => {
-			refuseUsage([message || String(error)]);
+			printUsageErrorsAndExit([message || String(error)]);
 		})
 		.parseAsync();
 }
 
 function addCommands(argv: Argv): Argv {
 	return argv
-		.command('run', 'Load one or more base URLs and check every answer.', runOptions, runLoad)
+		.command('run', 'Send load to one or more base URLs and check every answer.', runOptions, runLoad)
 		.command(
 			'compare',
-			'Compare a target called directly, through a pass-through and through an entry, in one run.',
+			'Compare direct calls to a target with calls through a pass-through and through an entry, in one run.',
 			compareOptions,
-			compareWays,
+			compareRoutes,
 		)
 		.command(
 			'pass-through',
-			'Run the bare pass-through that compare takes as its baseline.',
+			'Run the minimal reverse proxy that compare uses as its baseline.',
 			passThroughOptions,
 			servePassThrough,
 		);
@@ -68,7 +68,7 @@
 		path: args.path,
 		durationMs: args['duration-ms'],
 		mode: args.mode,
-		isOutcomeExpected: args.outcome ?? args.path.startsWith(servicePrefix),
+		isOutcomeExpected: args.outcome ?? args.path.startsWith(servicePathPrefix),
 	});
 	const timers = new SystemTimerService();
 	const summary = await new LoadRunner(timers, new SeededRandom(options.seed)).run(options);
@@ -78,69 +78,69 @@
 	process.exitCode = summary.failed + summary.refused > 0 ? exitCodeFailed : 0;
 }
 
-async function compareWays(args: CompareArguments): Promise<void> {
-	const faults = listComparisonFaults(args);
-	if (faults.length > 0) {
-		refuseUsage(faults);
+async function compareRoutes(args: CompareArguments): Promise<void> {
+	const errors = listComparisonErrors(args);
+	if (errors.length > 0) {
+		printUsageErrorsAndExit(errors);
 	}
-	const ways = listWays(args);
+	const routes = listRoutes(args);
 	const timers = new SystemTimerService();
-	const runner = new ComparisonRunner(new LoadRunner(timers, new SeededRandom(args.seed)), ways);
-	await runner.start(args['warm-up-ms']);
+	const runner = new ComparisonRunner(new LoadRunner(timers, new SeededRandom(args.seed)), routes);
+	await runner.runWarmUp(args['warm-up-ms']);
 	const rounds: Round[] = [];
 	for (let index = 0; index < args.rounds; index++) {
 		rounds.push(await runner.runRound(index));
 	}
 	timers.dispose();
-	const report = createReport(rounds);
-	process.stdout.write(`${renderReport(report)}\n`);
+	const report = createComparisonReport(rounds);
+	process.stdout.write(`${renderComparisonReport(report)}\n`);
 	await writeJson(args.json, report);
 	process.exitCode = report.figures.some(line => line.failed > 0) ? exitCodeFailed : 0;
 }
 
-/** Each round has an open and a closed part for each of three ways. */
-const partsOfRound = 6;
+/** An open-loop and a closed-loop part for each of three routes. */
+const maxPartsPerRound = 6;
 
-function listComparisonFaults(args: CompareArguments): string[] {
-	const isWhole = Number.isInteger(args.rounds) && args.rounds >= 1;
-	const totalMs = args.rounds * args['round-ms'] * partsOfRound;
+function listComparisonErrors(args: CompareArguments): string[] {
+	const isRoundCountValid = Number.isInteger(args.rounds) && args.rounds >= 1;
+	const totalMs = args.rounds * args['round-ms'] * maxPartsPerRound;
 	return [
-		...(isWhole ? [] : ['rounds: a whole number from 1']),
-		...(totalMs <= longestComparisonMs
+		...(isRoundCountValid ? [] : ['rounds: must be a whole number of at least 1']),
+		...(totalMs <= maxComparisonMs
 			? []
-			: [`rounds, round-ms: more than ${longestComparisonMs} ms in all`]),
-		...(args['warm-up-ms'] >= 0 && args['warm-up-ms'] <= longestRunMs
+			: [`rounds, round-ms: the rounds would take more than ${maxComparisonMs} ms in total`]),
+		...(args['warm-up-ms'] >= 0 && args['warm-up-ms'] <= maxRunDurationMs
 			? []
-			: [`warm-up-ms: from 0 to ${longestRunMs}`]),
+			: [`warm-up-ms: must be between 0 and ${maxRunDurationMs}`]),
 	];
 }
 
-function listWays(args: CompareArguments): ComparedWay[] {
-	const createWay = (way: Way, url: string | undefined, pid: number | undefined): ComparedWay[] => {
-		const isEntry = way === Way.Entry;
-		const own = {
-			path: isEntry ? `${servicePrefix}${args.service}${args.path}` : args.path,
+function listRoutes(args: CompareArguments): ComparedRoute[] {
+	const createRoute = (route: Route, url: string | undefined, pid: number | undefined): ComparedRoute[] => {
+		const isEntry = route === Route.Entry;
+		const specific = {
+			path: isEntry ? `${servicePathPrefix}${args.service}${args.path}` : args.path,
 			durationMs: args['round-ms'],
 			mode: LoadMode.Open,
 			isOutcomeExpected: isEntry,
 		};
 		return url === undefined
 			? []
-			: [{ way, pid, options: createOptionsOrExit(args, { ...own, targetUrls: [url] }) }];
+			: [{ way: route, pid, options: createOptionsOrExit(args, { ...specific, targetUrls: [url] }) }];
 	};
 	return [
-		...createWay(Way.Direct, args['direct-url'], undefined),
-		...createWay(Way.Baseline, args['baseline-url'], args['baseline-pid']),
-		...createWay(Way.Entry, args['entry-url'], args['entry-pid']),
+		...createRoute(Route.Direct, args['direct-url'], undefined),
+		...createRoute(Route.Baseline, args['baseline-url'], args['baseline-pid']),
+		...createRoute(Route.Entry, args['entry-url'], args['entry-pid']),
 	];
 }
 
 async function servePassThrough(args: PassThroughArguments): Promise<void> {
 	const listen = listenAddress.safeParse(args.listen);
-	const target = loopbackUrl.safeParse(args.to);
+	const target = loopbackOriginSchema.safeParse(args.to);
 	if (!listen.success || !target.success) {
 		const issues = [...(listen.error?.issues ?? []), ...(target.error?.issues ?? [])];
-		return refuseUsage(issues.map(issue => issue.message));
+		return printUsageErrorsAndExit(issues.map(issue => issue.message));
 	}
 	const passThrough = await startPassThrough(listen.data, target.data, args.connections);
 	process.stdout.write(`${JSON.stringify({ ready: true, url: passThrough.url, pid: process.pid })}\n`);
--- a/src/load/node/loadRunner.ts
+++ b/src/load/node/loadRunner.ts
@@ -1,5 +1,5 @@
 /**
- * Carries a load run out: sends each request at its time, waits for the last answer and gives the result.
+ * Executes load runs: sends the requests at their planned times, waits for all answers and returns the summary.
  */
 
 import { setImmediate as waitForLoop } from 'node:timers/promises';
@@ -14,16 +14,16 @@
 import { BodySource } from './bodySource';
 import { LoadClient } from './loadClient';
 
-/** Requests that may be awaited at once in an open run; what is due beyond them counts as failed. */
-const mostInFlight = 20_000;
+/** Maximum requests in flight in an open-loop run. Requests that are due beyond this limit count as failed. */
+const maxInFlight = 20_000;
 /**
- * Below this time to the next arrival the loop is turned instead of a timer being set. Node's timers are
- * up to a millisecond late; that would be added to every latency and hide the differences of less than a
- * millisecond that a comparison looks for.
+ * If the next arrival is closer than this, the runner polls with `setImmediate` instead of setting a timer. Node
+ * timers are up to 1 ms late. That delay would be added to every latency and hide differences of less than 1 ms
+ * between compared routes.
  */
-const turnLoopBelowMs = 3;
+const pollEventLoopBelowMs = 3;
 
-/** Runs load; one runner may carry out several runs, one after another. */
+/** Executes load runs. An instance can be reused for consecutive runs. */
 export class LoadRunner {
 	constructor(
 		private readonly timers: ITimerService,
@@ -48,7 +48,7 @@
 	private readonly client: LoadClient;
 	private readonly bodies: BodySource;
 	private readonly recorder = new LoadRecorder();
-	private readonly awaited = new Set<Promise<void>>();
+	private readonly inFlight = new Set<Promise<void>>();
 	private readonly startMs: number;
 	private sequence = 0;
 
@@ -68,22 +68,22 @@
 			await this.waitUntil(plannedMs);
 			this.sendPlanned(plannedMs);
 		}
-		await Promise.all(this.awaited);
-		return this.measure();
+		await Promise.all(this.inFlight);
+		return this.createSummary();
 	}
 
 	async runClosed(): Promise<LoadSummary> {
 		const senders = this.options.connections * this.options.targetUrls.length;
-		await Promise.all(Array.from({ length: senders }, () => this.sendInTurn()));
-		return this.measure();
+		await Promise.all(Array.from({ length: senders }, () => this.sendSequentially()));
+		return this.createSummary();
 	}
 
 	async close(): Promise<void> {
 		await this.client.close();
 	}
 
-	private measure(): LoadSummary {
-		return this.recorder.measure(this.timers.getNow() - this.startMs);
+	private createSummary(): LoadSummary {
+		return this.recorder.createSummary(this.timers.getNow() - this.startMs);
 	}
 
 	private async waitUntil(dueMs: number): Promise<void> {
@@ -92,10 +92,10 @@
 			if (leftMs <= 0) {
 				return;
 			}
-			if (leftMs < turnLoopBelowMs) {
+			if (leftMs < pollEventLoopBelowMs) {
 				await waitForLoop();
 			} else {
-				await this.waitFor(leftMs - turnLoopBelowMs + 1);
+				await this.waitFor(leftMs - pollEventLoopBelowMs + 1);
 			}
 		}
 	}
@@ -107,15 +107,15 @@
 	}
 
 	private sendPlanned(plannedMs: number): void {
-		if (this.awaited.size >= mostInFlight) {
-			this.recorder.noteEnd({ kind: ResultKind.Failed, reason: 'not sent: too many in flight' }, 0);
+		if (this.inFlight.size >= maxInFlight) {
+			this.recorder.recordResult({ kind: ResultKind.Failed, reason: 'not sent: too many in flight' }, 0);
 			return;
 		}
-		const sent = this.send(plannedMs).finally(() => this.awaited.delete(sent));
-		this.awaited.add(sent);
+		const sent = this.send(plannedMs).finally(() => this.inFlight.delete(sent));
+		this.inFlight.add(sent);
 	}
 
-	private async sendInTurn(): Promise<void> {
+	private async sendSequentially(): Promise<void> {
 		const endMs = this.startMs + this.options.durationMs;
 		for (;;) {
 			const nowMs = this.timers.getNow();
@@ -129,8 +129,8 @@
 	private async send(plannedMs: number): Promise<void> {
 		const sequence = this.sequence++;
 		const body = this.bodies.createBody(sequence);
-		this.recorder.noteSent(this.timers.getNow() - plannedMs);
-		const verdict = await this.client.send(sequence, body);
-		this.recorder.noteEnd(verdict, this.timers.getNow() - plannedMs);
+		this.recorder.recordSend(this.timers.getNow() - plannedMs);
+		const result = await this.client.send(sequence, body);
+		this.recorder.recordResult(result, this.timers.getNow() - plannedMs);
 	}
 }
--- a/src/load/node/passThrough.ts
+++ b/src/load/node/passThrough.ts
@@ -1,7 +1,7 @@
 /**
- * The baseline: the least that a Node program can do between a caller and one target with `http` and
- * `undici`. It reads no rule, checks nothing and keeps nothing; what an entry costs beyond it is the price
- * of the entry's own work.
+ * A minimal reverse proxy built on `http` and `undici`, used as the baseline of a comparison. It forwards requests to
+ * one target without routing rules, checks or buffering. The difference to an entry is the cost of the entry's own
+ * work.
  */
 
 import type { IncomingHttpHeaders, IncomingMessage, ServerResponse } from 'node:http';
@@ -10,8 +10,8 @@
 import { Pool } from 'undici';
 import type { ListenAddress } from '../../core/settings/common/settingsTypes';
 
-/** Headers that belong to one connection (RFC 9110, section 7.6.1) and `host`, which the client sets. */
-const connectionHeaders = new Set([
+/** Hop-by-hop headers (RFC 9110, section 7.6.1), and `host`, which the HTTP client sets. */
+const hopByHopHeaders = new Set([
 	'connection',
 	'keep-alive',
 	'proxy-connection',
@@ -22,19 +22,19 @@
 	'host',
 ]);
 
-/** A running pass-through. */
+/** A running pass-through proxy. */
 export interface PassThrough {
 	readonly url: string;
 	close(): Promise<void>;
 }
 
-/** Starts a pass-through to one base URL. */
+/** Starts a pass-through proxy to one base URL. */
 export async function startPassThrough(
 	listen: ListenAddress,
-	toUrl: string,
+	targetUrl: string,
 	connections: number,
 ): Promise<PassThrough> {
-	const pool = new Pool(toUrl, { connections, pipelining: 1 });
+	const pool = new Pool(targetUrl, { connections, pipelining: 1 });
 	const server = createServer((request, response) => {
 		void forwardRequest(pool, request, response);
 	});
@@ -53,7 +53,7 @@
 	};
 }
 
-/** `stream` writes the answer straight to the caller; `request` costs about twice the processor time. */
+/** Uses `stream`, which writes the answer directly to the caller. `request` needs about twice the CPU time. */
 async function forwardRequest(pool: Pool, request: IncomingMessage, response: ServerResponse): Promise<void> {
 	try {
 		await pool.stream(
@@ -77,12 +77,12 @@
 	return 'content-length' in requestHeaders || 'transfer-encoding' in requestHeaders;
 }
 
-function listEndToEndHeaders(all: IncomingHttpHeaders): IncomingHttpHeaders {
-	const passedOn: IncomingHttpHeaders = {};
-	for (const name in all) {
-		if (!connectionHeaders.has(name)) {
-			passedOn[name] = all[name];
+function listEndToEndHeaders(receivedHeaders: IncomingHttpHeaders): IncomingHttpHeaders {
+	const endToEndHeaders: IncomingHttpHeaders = {};
+	for (const name in receivedHeaders) {
+		if (!hopByHopHeaders.has(name)) {
+			endToEndHeaders[name] = receivedHeaders[name];
 		}
 	}
-	return passedOn;
+	return endToEndHeaders;
 }
--- a/src/load/test/fixtures.ts
+++ b/src/load/test/fixtures.ts
@@ -1,5 +1,5 @@
 /**
- * Options and summaries for the tests of the load tool.
+ * Creates load options and summaries for tests of the load tool.
  */
 
 import type { LoadOptions } from '../common/loadOptions';
--- a/src/load/test/loadOptions.test.ts
+++ b/src/load/test/loadOptions.test.ts
@@ -8,17 +8,19 @@
 		expect(options.targetUrls).toEqual(['http://127.0.0.1:9001', 'http://localhost:1', 'http://[::1]:2']);
 	});
 
-	// A host name that only begins like a loopback address, or carries one as its user, leads elsewhere. The
-	// tool would load a stranger's service, and the operator would see it in that stranger's complaint.
+	// A host name that only begins with a loopback address, or a URL with a loopback address as its user name,
+	// points to another machine. If such a URL were accepted, the tool would put load on that machine.
 	it.each(['http://10.0.0.1', 'http://127.0.0.1.example.net', 'http://127.0.0.1@example.net', 'nowhere'])(
 		'refuses %s',
 		url => {
-			const faults = checkLoadOptions(createOptions({ targetUrls: [url] }))._unsafeUnwrapErr();
-			expect(faults).toEqual(['targetUrls.0: only loopback hosts are loaded: 127.0.0.1, [::1] or localhost']);
+			const errors = checkLoadOptions(createOptions({ targetUrls: [url] }))._unsafeUnwrapErr();
+			expect(errors).toEqual([
+				'targetUrls.0: only loopback hosts are allowed: 127.0.0.1, [::1] or localhost',
+			]);
 		},
 	);
 
-	it('bounds the duration and the number of requests', () => {
+	it('limits the duration and the number of requests', () => {
 		expect(checkLoadOptions(createOptions({ durationMs: 120_001 })).isErr()).toBe(true);
 		expect(checkLoadOptions(createOptions({ durationMs: 120_000, ratePerSecond: 20_000 })).isErr()).toBe(
 			true,
--- a/src/load/test/loadRunner.test.ts
+++ b/src/load/test/loadRunner.test.ts
@@ -41,17 +41,20 @@
 		);
 	});
 
-	it.each(Object.values(LoadMode))('gets whole echoes through the pass-through in an %s run', async mode => {
-		const passThrough = await startPassThrough({ host: '127.0.0.1', port: 0 }, await startServer(echo), 4);
-		const summary = await runLoad(passThrough.url, mode);
-		await passThrough.close();
-		expect(summary.count).toBeGreaterThan(0);
-		expect(summary.ok).toBe(summary.count);
-	});
+	it.each(Object.values(LoadMode))(
+		'receives complete echoes through the pass-through in an %s run',
+		async mode => {
+			const passThrough = await startPassThrough({ host: '127.0.0.1', port: 0 }, await startServer(echo), 4);
+			const summary = await runLoad(passThrough.url, mode);
+			await passThrough.close();
+			expect(summary.count).toBeGreaterThan(0);
+			expect(summary.ok).toBe(summary.count);
+		},
+	);
 
-	// A target drops one answer in three halfway, and another in three is that of an earlier request. The
-	// first shows as a broken connection, the second only in the bytes; the tool must count both as failed.
-	it('counts cut and foreign answers as failed', async () => {
+	// The target closes the connection in the middle of one answer in three and sends the wrong bytes in another.
+	// Only the first is a transport error, the second is visible in the body alone. Both must count as failed.
+	it('counts incomplete and mismatched answers as failed', async () => {
 		let count = 0;
 		const url = await startServer((request, response) => {
 			count++;
--- a/src/load/test/results.test.ts
+++ b/src/load/test/results.test.ts
@@ -13,13 +13,13 @@
 describe('checkAnswer', () => {
 	const options = { isEcho: true, isOutcomeExpected: true };
 
-	it('takes a whole echo for right', () => {
+	it('accepts a complete echo', () => {
 		expect(checkAnswer(options, sent, createAnswer()).kind).toBe(ResultKind.Ok);
 	});
 
-	// A gateway that confuses two connections hands one caller the answer to another's request. Status and
-	// length may well fit; only the bytes tell.
-	it('fails an answer with other bytes, a piece of the body or no outcome', () => {
+	// A gateway that mixes up two connections sends a caller the answer to another caller's request. Status and
+	// length can match, so that the error is visible only in the bytes of the body.
+	it('fails an answer with other bytes, an incomplete body, no outcome or an error status', () => {
 		const wrong = [
 			createAnswer({ body: Uint8Array.from([1, 2, 4]) }),
 			createAnswer({ body: Uint8Array.from([1, 2]) }),
@@ -31,22 +31,22 @@
 		);
 	});
 
-	it('counts as refused only what was promised not to have run', () => {
+	it('counts a request as refused if its outcome states that it was not run', () => {
 		const refusal = createAnswer({ status: 503, outcome: 'not-run', error: 'overloaded' });
 		expect(checkAnswer(options, sent, refusal)).toEqual({ kind: ResultKind.Refused, reason: 'overloaded' });
 	});
 });
 
 describe('LoadRecorder', () => {
-	it('gives the percentiles of right answers and counts the rest by reason', () => {
+	it('reports the percentiles of correct answers and counts other results by reason', () => {
 		const recorder = new LoadRecorder();
 		for (let latencyMs = 1; latencyMs <= 100; latencyMs++) {
-			recorder.noteEnd({ kind: ResultKind.Ok, reason: '' }, latencyMs);
+			recorder.recordResult({ kind: ResultKind.Ok, reason: '' }, latencyMs);
 		}
-		recorder.noteEnd({ kind: ResultKind.Refused, reason: 'overloaded' }, 5_000);
-		recorder.noteEnd({ kind: ResultKind.Failed, reason: 'ECONNRESET' }, 5_000);
-		recorder.noteEnd({ kind: ResultKind.Failed, reason: 'ECONNRESET' }, 5_000);
-		const summary = recorder.measure(2_000);
+		recorder.recordResult({ kind: ResultKind.Refused, reason: 'overloaded' }, 5_000);
+		recorder.recordResult({ kind: ResultKind.Failed, reason: 'ECONNRESET' }, 5_000);
+		recorder.recordResult({ kind: ResultKind.Failed, reason: 'ECONNRESET' }, 5_000);
+		const summary = recorder.createSummary(2_000);
 		expect(summary).toMatchObject({ count: 103, ok: 100, refused: 1, failed: 2, okPerSecond: 50 });
 		expect(summary.p50Ms).toBeCloseTo(50, 0);
 		expect(summary.p99Ms).toBeCloseTo(99, 0);
@@ -60,7 +60,7 @@
 });
 
 describe('parseProcessorSeconds', () => {
-	it('adds user and system time, whatever the name of the command', () => {
+	it('adds user and system time for a command name with parentheses', () => {
 		const text = '42 (a (b) c) S 1 42 42 0 -1 4194304 100 0 0 0 150 50 0 0 20 0 11 0 100 1000 10';
 		expect(parseProcessorSeconds(text)).toBe(2);
 		expect(parseProcessorSeconds('')).toBeUndefined();
