--- a/src/bin/capacity.ts
+++ b/src/bin/capacity.ts
@@ -6,12 +6,12 @@
 
 import { writeFileSync } from 'node:fs';
 import { join } from 'node:path';
-import { computeSlopes } from '../capacity/common/controlCost';
-import type { ControlCost, CostSlope, FleetSize } from '../capacity/common/controlCost';
+import { computeCostSlopes } from '../capacity/common/controlCost';
+import type { ControlPlaneCost, CostSlope, FleetSize } from '../capacity/common/controlCost';
 import { estimateAt } from '../capacity/common/leastSquares';
-import { computeSpread } from '../capacity/common/spreadModel';
-import type { Spread } from '../capacity/common/spreadModel';
-import { measureControl } from '../capacity/node/measureControl';
+import { runGossipModel } from '../capacity/common/spreadModel';
+import type { GossipResult } from '../capacity/common/spreadModel';
+import { measureControlPlane } from '../capacity/node/measureControl';
 import { renderTable } from '../base/common/textTable';
 import { readProcessorSeconds } from '../load/node/processorTime';
 
@@ -43,7 +43,7 @@
 	return Number(value.toPrecision(4)).toString();
 }
 
-function printCosts(costs: readonly ControlCost[]): void {
+function printCosts(costs: readonly ControlPlaneCost[]): void {
 	const head = ['peers', 'targets', 'organisations', '% of a core', 'MB', 'sent B/s', 'received B/s'];
 	const more = ['manifest bytes', 'in force ms', 'cpu ms a change', 'cpu us a lookup', 'exchanges begun'];
 	const rows = costs.map(cost =>
@@ -83,17 +83,17 @@
 async function measureAll(
 	sizes: readonly FleetSize[],
 	times: { readonly settleMs: number; readonly windowMs: number },
-): Promise<ControlCost[]> {
-	const costs: ControlCost[] = [];
+): Promise<ControlPlaneCost[]> {
+	const costs: ControlPlaneCost[] = [];
 	for (const size of sizes) {
 		const program = join(__dirname, 'entry.js');
-		costs.push(await measureControl(size, { ...times, versions: 6 }, program, readProcessorSeconds));
+		costs.push(await measureControlPlane(size, { ...times, versionCount: 6 }, program, readProcessorSeconds));
 		process.stderr.write(`${size.peers} peers, ${size.targets} targets: done\n`);
 	}
 	return costs;
 }
 
-function printSpreads(spreads: readonly Spread[]): void {
+function printSpreads(spreads: readonly GossipResult[]): void {
 	const head = ['nodes', 'rounds to 90%', 'rounds to all', '% with an offer', 'suspected after s'];
 	const rows = spreads.map(spread =>
 		[
@@ -109,7 +109,7 @@
 
 /** All fleets that are measured and the lines through them. */
 async function measureFleets(windowMs: number): Promise<{
-	readonly costs: readonly ControlCost[];
+	readonly costs: readonly ControlPlaneCost[];
 	readonly slopes: readonly CostSlope[];
 }> {
 	const times = { settleMs: 4_000, windowMs };
@@ -129,10 +129,10 @@
 	return {
 		costs: [...small, ...large, ...byTargets, ...byOrganisations, ...whole],
 		slopes: [
-			...computeSlopes('small fleets', 'peers', small),
-			...computeSlopes('large fleets', 'peers', large),
-			...computeSlopes('targets', 'targets', byTargets),
-			...computeSlopes('organisations', 'organisations', byOrganisations),
+			...computeCostSlopes('small fleets', 'peers', small),
+			...computeCostSlopes('large fleets', 'peers', large),
+			...computeCostSlopes('targets', 'targets', byTargets),
+			...computeCostSlopes('organisations', 'organisations', byOrganisations),
 		],
 	};
 }
@@ -147,7 +147,7 @@
 		.strict()
 		.parseAsync();
 	const measured = options.fleets ? await measureFleets(options['window-ms']) : { costs: [], slopes: [] };
-	const spreads = spreadNodes.flatMap(nodes => spreadSeeds.map(seed => computeSpread(nodes, seed)));
+	const spreads = spreadNodes.flatMap(nodes => spreadSeeds.map(seed => runGossipModel(nodes, seed)));
 	printCosts(measured.costs);
 	printSlopes(measured.slopes);
 	printSpreads(spreads);
--- a/src/capacity/common/controlCost.ts
+++ b/src/capacity/common/controlCost.ts
@@ -1,41 +1,41 @@
 /**
- * What control costs one entry, as measured, and the lines through it.
+ * The measured cost of the control plane for one entry, and line fits of each metric over the size of the fleet.
  */
 
 import type { LineFit, Point } from './leastSquares';
 import { computeLineFit } from './leastSquares';
 
-/** The fleet around the entry that is measured. */
+/** Size of the fleet around the measured entry, which is not counted in `peers`. */
 export interface FleetSize {
 	readonly peers: number;
 	readonly targets: number;
 	readonly organisations: number;
 }
 
-/** One measured fleet. */
-export interface ControlCost extends FleetSize {
-	/** Processor time in percent of a core. */
+/** The measurements for one fleet size. */
+export interface ControlPlaneCost extends FleetSize {
+	/** CPU time in percent of one core. */
 	readonly corePercent: number;
-	/** Resident memory at the end, in megabytes. */
+	/** Resident memory at the end of the measurement window, in megabytes. */
 	readonly residentMegabytes: number;
-	/** Bytes a second that the process wrote and read, system calls counted. */
+	/** Bytes per second that the process passed to write and read system calls. */
 	readonly sentPerSecond: number;
 	readonly receivedPerSecond: number;
-	/** Bytes of the manifest's text. */
+	/** Size of the manifest text, in bytes. */
 	readonly manifestBytes: number;
-	/** From publishing a version to its being in force, in milliseconds; the median of some. */
+	/** Median time from the publication of a manifest version until the entry applies it, in milliseconds. */
 	readonly inForceMs: number;
-	/** Processor milliseconds that taking one version over cost. */
+	/** CPU time for applying one manifest version, in milliseconds. */
 	readonly inForceCpuMs: number;
-	/** Processor microseconds that a lookup of a caller cost. */
+	/** CPU time for one lookup of entries by a caller, in microseconds. */
 	readonly lookupCpuUs: number;
-	/** Views that the fake peers received from the entry in the window; 0 would make the run worthless. */
+	/** Exchanges that the entry started with the fake peers in the window. With 0, the run is not valid. */
 	readonly exchanges: number;
 }
 
-export type CostFigure = keyof Omit<ControlCost, keyof FleetSize | 'exchanges'>;
+export type CostMetric = keyof Omit<ControlPlaneCost, keyof FleetSize | 'exchanges'>;
 
-export const costFigures: readonly CostFigure[] = [
+export const costMetrics: readonly CostMetric[] = [
 	'corePercent',
 	'residentMegabytes',
 	'sentPerSecond',
@@ -46,24 +46,24 @@
 	'lookupCpuUs',
 ];
 
-/** One figure's line over one size. */
+/** Line fit of one metric over one dimension of the fleet size. */
 export interface CostSlope {
-	/** Which runs it goes through. */
+	/** Name of the series of runs that the line is fitted to. */
 	readonly runs: string;
 	readonly over: keyof FleetSize;
-	readonly figure: CostFigure;
+	readonly figure: CostMetric;
 	readonly fit: LineFit;
 }
 
-/** Fits every figure over one size. */
-export function computeSlopes(
+/** Fits a line to every metric over one dimension of the fleet size. */
+export function computeCostSlopes(
 	runs: string,
 	over: keyof FleetSize,
-	costs: readonly ControlCost[],
+	costs: readonly ControlPlaneCost[],
 ): readonly CostSlope[] {
-	return costFigures.flatMap(figure => {
-		const points: Point[] = costs.map(cost => ({ x: cost[over], y: cost[figure] }));
+	return costMetrics.flatMap(metric => {
+		const points: Point[] = costs.map(cost => ({ x: cost[over], y: cost[metric] }));
 		const fit = computeLineFit(points);
-		return fit === undefined ? [] : [{ runs, over, figure, fit }];
+		return fit === undefined ? [] : [{ runs, over, figure: metric, fit }];
 	});
 }
--- a/src/capacity/common/leastSquares.ts
+++ b/src/capacity/common/leastSquares.ts
@@ -1,9 +1,9 @@
 /**
- * A straight line through measured points. What a size that was not measured will cost is read off it, so
- * the fit's own error stands beside each slope.
+ * Fits a straight line to measured points. Costs of sizes that were not measured are extrapolated from the line, so
+ * each fit includes its error.
  */
 
-/** One measured point. */
+/** A measured point. */
 export interface Point {
 	readonly x: number;
 	readonly y: number;
@@ -13,32 +13,32 @@
 export interface LineFit {
 	readonly slope: number;
 	readonly intercept: number;
-	/** Root mean square of the distances from the line, in the unit of `y`. */
+	/** Root mean square of the residuals, in the unit of `y`. */
 	readonly error: number;
-	/** The largest distance of a point from the line. */
+	/** Largest absolute residual, in the unit of `y`. */
 	readonly largestError: number;
 }
 
-/** Fits by least squares; undefined for fewer than two different `x`. */
+/** Fits a line by least squares. Returns undefined for fewer than two different values of `x`. */
 export function computeLineFit(points: readonly Point[]): LineFit | undefined {
 	const meanX = computeMean(points.map(({ x }) => x));
 	const meanY = computeMean(points.map(({ y }) => y));
-	const spread = computeSum(points.map(({ x }) => (x - meanX) ** 2));
-	if (points.length < 2 || spread === 0) {
+	const squaredDeviations = computeSum(points.map(({ x }) => (x - meanX) ** 2));
+	if (points.length < 2 || squaredDeviations === 0) {
 		return undefined;
 	}
-	const slope = computeSum(points.map(({ x, y }) => (x - meanX) * (y - meanY))) / spread;
+	const slope = computeSum(points.map(({ x, y }) => (x - meanX) * (y - meanY))) / squaredDeviations;
 	const intercept = meanY - slope * meanX;
-	const distances = points.map(({ x, y }) => Math.abs(y - intercept - slope * x));
+	const residuals = points.map(({ x, y }) => Math.abs(y - intercept - slope * x));
 	return {
 		slope,
 		intercept,
-		error: Math.sqrt(computeMean(distances.map(distance => distance ** 2))),
-		largestError: Math.max(...distances),
+		error: Math.sqrt(computeMean(residuals.map(residual => residual ** 2))),
+		largestError: Math.max(...residuals),
 	};
 }
 
-/** The value that the line gives. */
+/** Returns the value of the line at `x`. */
 export function estimateAt(fit: LineFit, x: number): number {
 	return fit.intercept + fit.slope * x;
 }
--- a/src/capacity/common/spreadModel.ts
+++ b/src/capacity/common/spreadModel.ts
@@ -1,8 +1,8 @@
 /**
- * How news spreads through a fleet that speaks by the entry's own exchange plan, in rounds of one exchange
- * period and without a network: when a manifest that one node alone has seen is known to all, how many nodes
- * hold an offer of another region that is young enough to use, and how long an entry may be silent before it
- * is suspected.
+ * Simulates how information propagates through a fleet by view exchanges. The model uses the entry's own
+ * `ExchangePlanner` and `FleetView`, advances in rounds of one exchange period and has no network. It computes after
+ * how many rounds all nodes have a manifest version that only one node received, how many nodes hold a capacity
+ * offer of another region that is recent enough to use, and after which silence an entry is suspected.
  */
 
 import { SeededRandom } from '../../base/common/random';
@@ -12,57 +12,58 @@
 import type { InstanceId, ManifestVersion } from '../../core/ids/common/ids';
 import { createSyntheticView } from './syntheticView';
 
-/** What one run of the model gave. */
-export interface Spread {
+/** The result of one run of the model. */
+export interface GossipResult {
 	readonly nodes: number;
-	/** Rounds until nine in ten nodes, and until all, know of the new manifest. */
+	/** Rounds until 90 percent of the nodes, or all nodes, have the new manifest version. */
 	readonly roundsToMost: number;
 	readonly roundsToAll: number;
-	/** Part of the nodes, in percent, that hold a usable offer of another region; the mean of the later rounds. */
+	/** Percentage of nodes with a usable offer of another region, averaged over the rounds since the publication. */
 	readonly offeredPercent: number;
+	/** Time without a new view after which an entry is suspected. */
 	readonly suspectAfterSeconds: number;
 }
 
 const placeholderUrl = 'http://127.0.0.1:30001';
 const roundMs = 1_000;
 const publishRound = 10;
-const rounds = 40;
-/** Offers older than this are not used for sending away. */
-const usableOfferMs = 5_000;
-const mostShare = 0.9;
-const wholePercent = 100;
-const newVersion = 2 as ManifestVersion;
-
-/** Runs a fleet of a size from a seed. */
-export function computeSpread(nodes: number, seed: number): Spread {
-	const fleet = new SpreadModel(nodes, seed);
-	const holders: number[] = [];
-	const offered: number[] = [];
-	for (let round = 1; round < rounds; round++) {
+const roundCount = 40;
+/** Entries send no requests to another region based on older offers. */
+const maxOfferAgeMs = 5_000;
+const mostNodesFraction = 0.9;
+const percentFactor = 100;
+const newManifestVersion = 2 as ManifestVersion;
+
+/** Simulates a fleet of this many nodes with random choices from the seed. */
+export function runGossipModel(nodes: number, seed: number): GossipResult {
+	const model = new GossipModel(nodes, seed);
+	const updatedCounts: number[] = [];
+	const offeredCounts: number[] = [];
+	for (let round = 1; round < roundCount; round++) {
 		if (round === publishRound) {
-			fleet.setVersion(0, newVersion);
+			model.setManifestVersion(0, newManifestVersion);
 		}
-		fleet.advance(round * roundMs);
+		model.advance(round * roundMs);
 		if (round >= publishRound) {
-			holders.push(fleet.countHolders());
-			offered.push(fleet.countOffered(round * roundMs));
+			updatedCounts.push(model.countUpdatedNodes());
+			offeredCounts.push(model.countNodesWithRemoteOffer(round * roundMs));
 		}
 	}
-	const mean = offered.reduce((sum, count) => sum + count, 0) / offered.length;
+	const mean = offeredCounts.reduce((sum, count) => sum + count, 0) / offeredCounts.length;
 	return {
 		nodes,
-		roundsToMost: findRound(holders, mostShare * nodes),
-		roundsToAll: findRound(holders, nodes),
-		offeredPercent: (wholePercent * mean) / nodes,
-		suspectAfterSeconds: fleet.computeSuspectAfter() / roundMs,
+		roundsToMost: findFirstRound(updatedCounts, mostNodesFraction * nodes),
+		roundsToAll: findFirstRound(updatedCounts, nodes),
+		offeredPercent: (percentFactor * mean) / nodes,
+		suspectAfterSeconds: model.computeSuspectTimeoutMs() / roundMs,
 	};
 }
 
-class SpreadModel {
+class GossipModel {
 	private readonly views: EntryView[] = [];
-	private readonly fleets: FleetView[] = [];
-	private readonly plans: ExchangePlanner[] = [];
-	private readonly indexes = new Map<InstanceId, number>();
+	private readonly fleetViews: FleetView[] = [];
+	private readonly planners: ExchangePlanner[] = [];
+	private readonly nodeIndexes = new Map<InstanceId, number>();
 
 	constructor(nodes: number, seed: number) {
 		const random = new SeededRandom(seed);
@@ -70,41 +71,41 @@
 			const view = createSyntheticView(index, 1, placeholderUrl);
 			const fleet = new FleetView(view.instance);
 			this.views.push(view);
-			this.fleets.push(fleet);
-			this.plans.push(new ExchangePlanner(view, fleet, random));
-			this.indexes.set(view.instance, index);
+			this.fleetViews.push(fleet);
+			this.planners.push(new ExchangePlanner(view, fleet, random));
+			this.nodeIndexes.set(view.instance, index);
 		}
-		for (const fleet of this.fleets) {
+		for (const fleet of this.fleetViews) {
 			fleet.merge(this.views, 0);
 		}
 	}
 
 	advance(nowMs: number): void {
-		this.plans.forEach((plan, index) => {
-			for (const { view } of plan.pickPeers(nowMs)) {
-				this.exchange(index, this.indexes.get(view.instance) ?? index, nowMs);
+		this.planners.forEach((planner, index) => {
+			for (const { view } of planner.pickPeers(nowMs)) {
+				this.exchange(index, this.nodeIndexes.get(view.instance) ?? index, nowMs);
 			}
 		});
 	}
 
-	setVersion(index: number, manifestVersion: ManifestVersion): void {
+	setManifestVersion(index: number, manifestVersion: ManifestVersion): void {
 		this.updateView(index, { manifestVersion });
 	}
 
-	countHolders(): number {
-		return this.views.filter(({ manifestVersion }) => manifestVersion === newVersion).length;
+	countUpdatedNodes(): number {
+		return this.views.filter(({ manifestVersion }) => manifestVersion === newManifestVersion).length;
 	}
 
-	countOffered(nowMs: number): number {
-		return this.fleets.filter((fleet, index) =>
+	countNodesWithRemoteOffer(nowMs: number): number {
+		return this.fleetViews.filter((fleet, index) =>
 			fleet
 				.list(nowMs)
-				.some(({ view, ageMs }) => ageMs <= usableOfferMs && view.region !== this.views[index]?.region),
+				.some(({ view, ageMs }) => ageMs <= maxOfferAgeMs && view.region !== this.views[index]?.region),
 		).length;
 	}
 
-	computeSuspectAfter(): number {
-		return this.fleets[0]?.computeSuspectTimeout() ?? Number.NaN;
+	computeSuspectTimeoutMs(): number {
+		return this.fleetViews[0]?.computeSuspectTimeout() ?? Number.NaN;
 	}
 
 	private exchange(from: number, to: number, nowMs: number): void {
@@ -116,13 +117,13 @@
 
 	private listViews(from: number, to: number, nowMs: number): readonly EntryView[] {
 		const own = this.updateView(from, {});
-		return this.plans[from]?.listViews(own, this.views[to]?.instance, nowMs) ?? [];
+		return this.planners[from]?.listViews(own, this.views[to]?.instance, nowMs) ?? [];
 	}
 
 	private receive(index: number, views: readonly EntryView[], nowMs: number): void {
-		this.fleets[index]?.merge(views, nowMs);
-		if (views.some(({ manifestVersion }) => manifestVersion === newVersion)) {
-			this.setVersion(index, newVersion);
+		this.fleetViews[index]?.merge(views, nowMs);
+		if (views.some(({ manifestVersion }) => manifestVersion === newManifestVersion)) {
+			this.setManifestVersion(index, newManifestVersion);
 		}
 	}
 
@@ -134,7 +135,7 @@
 	}
 }
 
-function findRound(holders: readonly number[], wanted: number): number {
-	const index = holders.findIndex(count => count >= wanted);
+function findFirstRound(counts: readonly number[], minCount: number): number {
+	const index = counts.findIndex(count => count >= minCount);
 	return index < 0 ? Number.POSITIVE_INFINITY : index + 1;
 }
--- a/src/capacity/common/syntheticFleet.ts
+++ b/src/capacity/common/syntheticFleet.ts
@@ -1,27 +1,27 @@
 /**
- * A fleet of any size for measurements: a manifest with as many targets, organisations and models as wanted,
- * and entries spread over regions and zones.
+ * Creates a synthetic fleet for measurements: entries distributed over regions and zones, and a manifest with any
+ * number of targets and organisations.
  */
 
-/** Where one entry stands. */
-export interface SyntheticPlace {
+/** Id and location of one entry. */
+export interface SyntheticInstance {
 	readonly id: string;
 	readonly region: string;
 	readonly zone: string;
 }
 
-/** How large the manifest is. */
+/** Size of a synthetic manifest. */
 export interface ManifestSize {
 	readonly targets: number;
 	readonly organisations: number;
 }
 
-const models = 7;
+const modelCount = 7;
 const slotsPerTarget = 8;
 const weightBytes = 16_000_000_000;
-const weightSteps = 3;
+const maxOrganisationWeight = 3;
 
-/** Zones with the region of each: 3 regions, 7 zones. */
+/** The zones of the fleet with their regions: 7 zones in 3 regions. */
 const zones = [
 	{ region: 'north', zone: 'north-a' },
 	{ region: 'north', zone: 'north-b' },
@@ -34,13 +34,13 @@
 
 const regions = [...new Set(zones.map(({ region }) => region))];
 
-/** The n-th entry of the fleet; entry 0 is the one that is measured. */
-export function createPlace(index: number): SyntheticPlace {
+/** Returns the entry with this index. Index 0 is the measured entry. */
+export function createSyntheticInstance(index: number): SyntheticInstance {
 	return { id: `entry-${index}`, ...pickZone(index) };
 }
 
-/** The text of a manifest; `note` makes two of one size differ, as two versions do. */
-export function formatManifest(size: ManifestSize, note: number): string {
+/** Returns the text of a manifest. `variant` changes the weights of the organisations, so that versions differ. */
+export function formatSyntheticManifest(size: ManifestSize, variant: number): string {
 	return JSON.stringify({
 		regions: regions.map(name => ({
 			name,
@@ -50,10 +50,10 @@
 		organisations: createList(size.organisations, index => ({
 			name: `organisation-${index}`,
 			home: regions[index % regions.length],
-			weight: 1 + ((index + note) % weightSteps),
+			weight: 1 + ((index + variant) % maxOrganisationWeight),
 		})),
-		models: createList(models, index => ({ name: `model-${index}`, version: '1', weightBytes })),
-		services: createList(models, index => ({
+		models: createList(modelCount, index => ({ name: `model-${index}`, version: '1', weightBytes })),
+		services: createList(modelCount, index => ({
 			name: `service-${index}`,
 			kind: 'engine',
 			model: `model-${index}`,
@@ -63,14 +63,14 @@
 		})),
 		targets: createList(size.targets, index => ({
 			id: `target-${index}`,
-			service: `service-${index % models}`,
-			...pickZone(Math.floor(index / models)),
+			service: `service-${index % modelCount}`,
+			...pickZone(Math.floor(index / modelCount)),
 			url: `http://127.0.0.1:${firstTargetPort + index}`,
 		})),
 	});
 }
 
-/** Nothing listens there: without requests an entry opens no connection to a target. */
+/** Port of the first target. Nothing listens on these ports: an entry without requests does not connect to targets. */
 const firstTargetPort = 40_000;
 
 function pickZone(index: number): { readonly region: string; readonly zone: string } {
--- a/src/capacity/common/syntheticView.ts
+++ b/src/capacity/common/syntheticView.ts
@@ -1,6 +1,6 @@
 /**
- * The view that an entry of a synthetic fleet tells of itself: as long as a real one with seven services,
- * so that what carries it costs what it would cost.
+ * Creates the views that the entries of a synthetic fleet publish. Each is as large as a real view with seven
+ * services, so that sending and processing it costs the same.
  */
 
 import type { EntryView } from '../../entry/common/fleetView/entryView';
@@ -12,14 +12,14 @@
 	ServiceName,
 	ZoneName,
 } from '../../core/ids/common/ids';
-import { createPlace } from './syntheticFleet';
+import { createSyntheticInstance } from './syntheticFleet';
 
-const services = 7;
-const firstVersion = 1 as ManifestVersion;
+const serviceCount = 7;
+const firstManifestVersion = 1 as ManifestVersion;
 
-/** The view of the entry with this index in the fleet, on the first manifest. */
+/** Returns a view of the entry with this index, with the first manifest version. */
 export function createSyntheticView(index: number, sequence: number, peerUrl: string): EntryView {
-	const { id, region, zone } = createPlace(index);
+	const { id, region, zone } = createSyntheticInstance(index);
 	return {
 		instance: id as InstanceId,
 		bootId: `boot0000${index}` as BootId,
@@ -29,10 +29,10 @@
 		callerUrl: peerUrl,
 		peerUrl,
 		isLeaving: false,
-		manifestVersion: firstVersion,
+		manifestVersion: firstManifestVersion,
 		manifestDigest: '0123456789abcdef',
 		ageMs: 0,
-		rooms: Array.from({ length: services }, (_, service) => ({
+		rooms: Array.from({ length: serviceCount }, (_, service) => ({
 			service: `service-${service}` as ServiceName,
 			room: { waitMs: 12, freeSlots: 40, running: 24, queued: 3 },
 		})),
--- a/src/capacity/node/fakePeers.ts
+++ b/src/capacity/node/fakePeers.ts
@@ -1,6 +1,6 @@
 /**
- * Many entries in one process, as far as another entry can tell: each has a fleet, a peer port and clients
- * of its own and speaks the peer protocol by the same classes as a real one. They take no requests.
+ * Simulates many entries in one process. Each has its own fleet, peer port and peer clients, and implements the peer
+ * protocol with the same classes as a real entry. Fake peers do not accept requests.
  */
 
 import { create } from '@bufbuild/protobuf';
@@ -23,18 +23,18 @@
 import { PeerClients } from '../../entry/node/peers/peerClients';
 import type { IPeerHandler } from '../../entry/node/peers/peerServer';
 import { PeerServer } from '../../entry/node/peers/peerServer';
-import { createPlace } from '../common/syntheticFleet';
+import { createSyntheticInstance } from '../common/syntheticFleet';
 import { createSyntheticView } from '../common/syntheticView';
 
-const bodyBytes = 1_024;
-const trailCapacity = 16;
-const drawSeed = 20;
+const maxBodyBytes = 1_024;
+const auditTrailCapacity = 16;
+const randomSeed = 20;
 
-/** One fake entry. */
+/** A simulated entry that exchanges views with its peers. */
 class FakePeer extends Disposable {
-	private readonly peers = this.register(new PeerClients({}, undefined));
+	private readonly clients = this.register(new PeerClients({}, undefined));
 	fleet: EntryFleet | undefined;
-	private readonly place;
+	private readonly instance;
 	private readonly server: PeerServer;
 	private peerUrl = '';
 	private sequence = 0;
@@ -46,11 +46,11 @@
 		private readonly observeViews: (views: readonly WireView[]) => void,
 	) {
 		super();
-		this.place = createPlace(index);
+		this.instance = createSyntheticInstance(index);
 		this.server = new PeerServer(
 			this.createHandler(),
-			new HeldBytes(bodyBytes),
-			bodyBytes,
+			new HeldBytes(maxBodyBytes),
+			maxBodyBytes,
 			new RequestIntake(new ImmediateTurnScheduler(), timers, random, () => undefined),
 			timers,
 			undefined,
@@ -63,28 +63,28 @@
 	}
 
 	startFleet(): EntryFleet {
-		const place = {
-			id: this.place.id as InstanceId,
-			region: this.place.region as RegionName,
-			zone: this.place.zone as ZoneName,
+		const location = {
+			id: this.instance.id as InstanceId,
+			region: this.instance.region as RegionName,
+			zone: this.instance.zone as ZoneName,
 			peerUrl: this.peerUrl,
 			seeds: [],
 		};
-		const trail = this.register(new RingAuditTrail(trailCapacity, () => new Date()));
+		const trail = this.register(new RingAuditTrail(auditTrailCapacity, () => new Date()));
 		this.fleet = this.register(
-			new EntryFleet(place, () => this.describe(), this.peers, this.timers, this.random, trail),
+			new EntryFleet(location, () => this.createNextView(), this.clients, this.timers, this.random, trail),
 		);
 		return this.fleet;
 	}
 
-	describe(): EntryView {
+	createNextView(): EntryView {
 		this.sequence++;
 		return createSyntheticView(this.index, this.sequence, this.peerUrl);
 	}
 
-	describeListed(): object {
+	createInstanceListItem(): object {
 		const { peerUrl } = this;
-		return { ...this.place, kind: 'entry', callerUrl: peerUrl, peerUrl, state: 'live' };
+		return { ...this.instance, kind: 'entry', callerUrl: peerUrl, peerUrl, state: 'live' };
 	}
 
 	close(): Promise<void> {
@@ -100,63 +100,69 @@
 			},
 			findHold: () => undefined,
 			describeManifest: () => create(FetchManifestResponseSchema, {}),
-			planForwarded: () => err(createRequestError(ErrorKind.Leaving, 'takes no requests')),
+			planForwarded: () => err(createRequestError(ErrorKind.Leaving, 'fake peers do not accept requests')),
 			refuseTicketed: (_, error) => error,
-			readHead: () => err(createRequestError(ErrorKind.Leaving, 'takes no requests')),
+			readHead: () => err(createRequestError(ErrorKind.Leaving, 'fake peers do not accept requests')),
 			accept: () => undefined,
 		};
 	}
 }
 
-/** All fake entries of a measurement. */
+/** All simulated entries of a measurement. */
 export class FakePeers {
 	private readonly timers = new SystemTimerService();
-	/** One source for all: sources with neighbouring seeds draw alike at first, and all would ask one peer. */
-	private readonly random = new SeededRandom(drawSeed);
+	/**
+	 * Shared by all peers. Generators with adjacent seeds return similar values at first, so that all peers would
+	 * contact the same peer.
+	 */
+	private readonly random = new SeededRandom(randomSeed);
 	private readonly peers: readonly FakePeer[];
-	/** A fleet lets go of connections to strangers, and the entry is one to it until it has answered. */
-	private readonly introductions = new PeerClients({}, undefined);
-	private heard = 0;
-
-	/** `measured` is the entry whose word is counted. */
+	/**
+	 * Connections for the first exchange with the measured entry. A fleet closes connections to instances that
+	 * are not in its view, and the measured entry is added to the view with its first answer.
+	 */
+	private readonly initialExchangeClients = new PeerClients({}, undefined);
+	private exchangeCount = 0;
+
+	/** `measuredInstanceId` is the entry whose exchanges are counted. */
 	constructor(
 		count: number,
-		private readonly measured: string,
+		private readonly measuredInstanceId: string,
 	) {
-		const observe = (views: readonly WireView[]): void => {
-			this.heard += views[0]?.instanceId === this.measured ? 1 : 0;
+		const countExchange = (views: readonly WireView[]): void => {
+			this.exchangeCount += views[0]?.instanceId === this.measuredInstanceId ? 1 : 0;
 		};
 		this.peers = Array.from(
 			{ length: count },
-			(_, index) => new FakePeer(index + 1, this.timers, this.random, observe),
+			(_, index) => new FakePeer(index + 1, this.timers, this.random, countExchange),
 		);
 	}
 
-	/** Exchanges that the measured entry began. */
-	countHeard(): number {
-		return this.heard;
+	/** Returns the number of exchanges that the measured entry has started. */
+	getExchangeCount(): number {
+		return this.exchangeCount;
 	}
 
-	/** Opens all ports and lets everybody know everybody. */
+	/** Opens all peer ports and gives each fleet the views of all fake peers. */
 	async start(): Promise<void> {
 		for (const peer of this.peers) {
 			await peer.listen();
 		}
-		const views = this.peers.map(peer => encodeView(peer.describe()));
+		const views = this.peers.map(peer => encodeView(peer.createNextView()));
 		for (const peer of this.peers) {
 			peer.startFleet().receiveViews(views);
 		}
 	}
 
 	formatInstanceList(): string {
-		return JSON.stringify({ instances: this.peers.map(peer => peer.describeListed()) });
+		return JSON.stringify({ instances: this.peers.map(peer => peer.createInstanceListItem()) });
 	}
 
-	/** Each tells the entry of itself, as entries that have been there for long have done. */
+	/** Sends the view of each fake peer to the measured entry, as in a fleet that has run for some time. */
 	async sendOwnViews(peerUrl: string): Promise<void> {
-		const { client } = this.introductions.open(peerUrl);
+		const { client } = this.initialExchangeClients.open(peerUrl);
 		for (const peer of this.peers) {
-			const views = [encodeView(peer.describe())];
+			const views = [encodeView(peer.createNextView())];
 			const answer = await client.exchangeViews({ views });
 			peer.fleet?.receiveViews(answer.views);
 		}
@@ -164,7 +170,7 @@
 
 	async close(): Promise<void> {
 		this.timers.dispose();
-		this.introductions.dispose();
+		this.initialExchangeClients.dispose();
 		await Promise.all(this.peers.map(peer => peer.close()));
 	}
 }
--- a/src/capacity/node/measuredEntry.ts
+++ b/src/capacity/node/measuredEntry.ts
@@ -1,5 +1,5 @@
 /**
- * The one real entry of a measurement: a process of its own, watched through its log and `/proc`.
+ * Runs the real entry of a measurement as a child process and observes it through its log and `/proc`.
  */
 
 import type { ChildProcess } from 'node:child_process';
@@ -11,9 +11,9 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { createInterface } from 'node:readline';
-import { createPlace } from '../common/syntheticFleet';
+import { createSyntheticInstance } from '../common/syntheticFleet';
 
-/** What a process has used so far. */
+/** Resources used by a process. All but the memory are totals since its start. */
 export interface ProcessUsage {
 	readonly processorSeconds: number;
 	readonly residentMegabytes: number;
@@ -21,21 +21,21 @@
 	readonly receivedBytes: number;
 }
 
-/** Reads the processor seconds of a process, or undefined where it is gone. */
+/** Returns the CPU seconds used by a process so far, or undefined if the process no longer exists. */
 export type ReadProcessorSeconds = (pid: number) => Promise<number | undefined>;
 
 const kibibytesPerMegabyte = 976.5625;
-const listeningSign = /"callers":(\d+)/;
-const manifestSign = /"audit":\{.*"kind":"manifest".*"to":"[^"]*?(\d+)"/;
+const callerPortPattern = /"callers":(\d+)/;
+const manifestVersionPattern = /"audit":\{.*"kind":"manifest".*"to":"[^"]*?(\d+)"/;
 
-/** A running `anvilroad-entry`. */
+/** An `anvilroad-entry` child process with temporary settings. */
 export class MeasuredEntry {
 	private readonly folder = mkdtempSync(join(tmpdir(), 'anvilroad-capacity-'));
-	private readonly watchers = new Set<() => void>();
+	private readonly waiters = new Set<() => void>();
 	private child: ChildProcess | undefined;
-	private inForce = 0;
+	private activeVersion = 0;
 	private callerPort = 0;
-	/** As other entries reach it. */
+	/** URL at which other entries reach this entry. */
 	peerUrl = '';
 
 	constructor(
@@ -52,27 +52,27 @@
 			stdio: ['ignore', 'pipe', 'inherit'],
 		});
 		this.child = child;
-		process.once('exit', this.release);
+		process.once('exit', this.killAndCleanUp);
 		createInterface({ input: child.stdout }).on('line', line => {
 			this.readLine(line);
 		});
 	}
 
-	/** Resolves once a version is in force. */
+	/** Resolves when the entry has applied this manifest version or a later one. */
 	async waitForManifest(version: number): Promise<void> {
 		await new Promise<void>(resolve => {
 			const check = (): void => {
-				if (this.inForce >= version) {
-					this.watchers.delete(check);
+				if (this.activeVersion >= version) {
+					this.waiters.delete(check);
 					resolve();
 				}
 			};
-			this.watchers.add(check);
+			this.waiters.add(check);
 			check();
 		});
 	}
 
-	/** Where callers ask for entries. */
+	/** Returns the URL at which callers look up the entries of a service. */
 	getLookupUrl(service: string): string {
 		return `http://127.0.0.1:${this.callerPort}/v1/entries?service=${service}`;
 	}
@@ -86,13 +86,13 @@
 		]);
 		return {
 			processorSeconds: seconds ?? Number.NaN,
-			residentMegabytes: readNumber(status, 'VmRSS') / kibibytesPerMegabyte,
-			sentBytes: readNumber(io, 'wchar'),
-			receivedBytes: readNumber(io, 'rchar'),
+			residentMegabytes: parseProcNumber(status, 'VmRSS') / kibibytesPerMegabyte,
+			sentBytes: parseProcNumber(io, 'wchar'),
+			receivedBytes: parseProcNumber(io, 'rchar'),
 		};
 	}
 
-	/** Ends the process at once; nothing is in progress in it. */
+	/** Kills the process without a graceful shutdown, because it serves no requests. */
 	async stop(): Promise<void> {
 		const { child } = this;
 		if (child?.exitCode === null) {
@@ -100,34 +100,34 @@
 			child.kill('SIGKILL');
 			await ended;
 		}
-		process.removeListener('exit', this.release);
-		this.release();
+		process.removeListener('exit', this.killAndCleanUp);
+		this.killAndCleanUp();
 	}
 
-	/** Also when the measurement is interrupted: the entry would go on for good. */
-	private readonly release = (): void => {
+	/** Also runs when this process exits during a measurement, because the entry would keep running otherwise. */
+	private readonly killAndCleanUp = (): void => {
 		this.child?.kill('SIGKILL');
 		rmSync(this.folder, { recursive: true, force: true });
 	};
 
 	private readLine(line: string): void {
-		this.callerPort = Number(listeningSign.exec(line)?.[1] ?? this.callerPort);
-		const version = manifestSign.exec(line)?.[1];
+		this.callerPort = Number(callerPortPattern.exec(line)?.[1] ?? this.callerPort);
+		const version = manifestVersionPattern.exec(line)?.[1];
 		if (version !== undefined) {
-			this.inForce = Number(version);
-			for (const check of [...this.watchers]) {
+			this.activeVersion = Number(version);
+			for (const check of [...this.waiters]) {
 				check();
 			}
 		}
 	}
 }
 
-function readNumber(text: string, name: string): number {
+function parseProcNumber(text: string, name: string): number {
 	return Number(new RegExp(`^${name}:\\s+(\\d+)`, 'm').exec(text)?.[1]);
 }
 
 function formatSettings(peerPort: number, platformUrl: string): string {
-	const { id, region, zone } = createPlace(0);
+	const { id, region, zone } = createSyntheticInstance(0);
 	return `[instance]
 id = ${id}
 region = ${region}
--- a/src/capacity/node/publisher.ts
+++ b/src/capacity/node/publisher.ts
@@ -1,6 +1,5 @@
 /**
- * The platform of a measurement: the manifest and the instance list over HTTP with hanging
- * watches.
+ * The platform of a measurement. Serves the manifest and the instance list over HTTP with long polling.
  */
 
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
@@ -9,23 +8,23 @@
 import type { IDisposable } from '../../base/common/lifecycle';
 import { headers } from '../../core/platformClient/common/platformHeaders';
 
-interface Document {
+interface PublishedDocument {
 	version: number;
 	text: string;
-	readonly waiting: Set<() => void>;
+	readonly pendingPolls: Set<() => void>;
 }
 
 const statusNotModified = 304;
 
-/** Publishes two documents. */
-export class Publisher implements IDisposable {
+/** An HTTP server for two versioned documents, the manifest and the instance list. */
+export class FakePlatform implements IDisposable {
 	private readonly server: Server = createServer((request, response) => {
-		this.answer(request, response);
+		this.handleRequest(request, response);
 	});
-	private readonly manifest: Document = { version: 0, text: '', waiting: new Set() };
-	private readonly instances: Document = { version: 0, text: '', waiting: new Set() };
+	private readonly manifest: PublishedDocument = { version: 0, text: '', pendingPolls: new Set() };
+	private readonly instances: PublishedDocument = { version: 0, text: '', pendingPolls: new Set() };
 
-	/** Opens a port and gives the origin. */
+	/** Listens on a free port and returns the origin. */
 	async listen(): Promise<string> {
 		await new Promise<void>(resolve => {
 			this.server.listen(0, '127.0.0.1', resolve);
@@ -33,7 +32,7 @@
 		return `http://127.0.0.1:${(this.server.address() as AddressInfo).port}`;
 	}
 
-	/** Gives the version that the text got. */
+	/** Publishes a manifest and returns its version. */
 	putManifest(text: string): number {
 		return putDocument(this.manifest, text);
 	}
@@ -47,7 +46,7 @@
 		this.server.closeAllConnections();
 	}
 
-	private answer(request: IncomingMessage, response: ServerResponse): void {
+	private handleRequest(request: IncomingMessage, response: ServerResponse): void {
 		const url = new URL(request.url ?? '/', 'http://platform');
 		const document = url.pathname === '/v1/instances' ? this.instances : this.manifest;
 		const after = Number(url.searchParams.get('after'));
@@ -55,34 +54,34 @@
 			sendDocument(document, response);
 			return;
 		}
-		const wake = (): void => {
+		const answerPoll = (): void => {
 			clearTimeout(timer);
-			document.waiting.delete(wake);
+			document.pendingPolls.delete(answerPoll);
 			if (document.version > after) {
 				sendDocument(document, response);
 			} else {
 				response.writeHead(statusNotModified).end();
 			}
 		};
-		const timer = setTimeout(wake, Number(url.searchParams.get('wait-ms')));
-		document.waiting.add(wake);
+		const timer = setTimeout(answerPoll, Number(url.searchParams.get('wait-ms')));
+		document.pendingPolls.add(answerPoll);
 		response.on('close', () => {
 			clearTimeout(timer);
-			document.waiting.delete(wake);
+			document.pendingPolls.delete(answerPoll);
 		});
 	}
 }
 
-function putDocument(document: Document, text: string): number {
+function putDocument(document: PublishedDocument, text: string): number {
 	document.text = text;
 	document.version++;
-	for (const wake of [...document.waiting]) {
-		wake();
+	for (const answerPoll of [...document.pendingPolls]) {
+		answerPoll();
 	}
 	return document.version;
 }
 
-function sendDocument(document: Document, response: ServerResponse): void {
+function sendDocument(document: PublishedDocument, response: ServerResponse): void {
 	response.setHeader(headers.version, String(document.version));
 	response.end(document.text);
 }
--- a/src/capacity/test/spreadModel.test.ts
+++ b/src/capacity/test/spreadModel.test.ts
@@ -1,9 +1,9 @@
-import { computeSpread } from '../common/spreadModel';
+import { runGossipModel } from '../common/spreadModel';
 
 describe('computeSpread', () => {
-	// One instance alone sees the platform. If its news did not reach every other one within nine seconds, two
-	// versions of the manifest would be in force side by side for longer than operators accept.
-	it('finds a manifest that one of 360 nodes saw at all of them within nine rounds', () => {
-		expect(computeSpread(360, 4).roundsToAll).toBeLessThanOrEqual(9);
+	// If only one instance reaches the platform, the manifest propagates from there to all other instances. If that
+	// took more than nine seconds, two manifest versions would be active at once for longer than operators accept.
+	it('propagates a manifest from one node to all 360 nodes within nine rounds', () => {
+		expect(runGossipModel(360, 4).roundsToAll).toBeLessThanOrEqual(9);
 	});
 });
