--- a/src/bin/capacity.ts
+++ b/src/bin/capacity.ts
@@ -6,12 +6,12 @@
 
 import { writeFileSync } from 'node:fs';
 import { join } from 'node:path';
-import { computeCostSlopes } from '../capacity/common/controlCost';
-import type { ControlPlaneCost, CostSlope, FleetSize } from '../capacity/common/controlCost';
+import { computeCostSlopes } from '../capacity/common/controlPlaneCost';
+import type { ControlPlaneCost, CostSlope, FleetSize } from '../capacity/common/controlPlaneCost';
 import { estimateAt } from '../capacity/common/leastSquares';
-import { runGossipModel } from '../capacity/common/spreadModel';
-import type { GossipResult } from '../capacity/common/spreadModel';
-import { measureControlPlane } from '../capacity/node/measureControl';
+import { runGossipModel } from '../capacity/common/gossipModel';
+import type { GossipResult } from '../capacity/common/gossipModel';
+import { measureControlPlane } from '../capacity/node/measureControlPlane';
 import { renderTable } from '../base/common/textTable';
 import { readProcessorSeconds } from '../load/node/processorTime';
 
--- a/src/capacity/node/measureControl.ts
+++ b/src/capacity/node/measureControlPlane.ts
@@ -6,12 +6,12 @@
 
 import { setTimeout as wait } from 'node:timers/promises';
 import { Pool } from 'undici';
-import type { ControlPlaneCost, FleetSize } from '../common/controlCost';
+import type { ControlPlaneCost, FleetSize } from '../common/controlPlaneCost';
 import { createSyntheticInstance, formatSyntheticManifest } from '../common/syntheticFleet';
 import { FakePeers } from './fakePeers';
 import type { ProcessUsage, ReadProcessorSeconds } from './measuredEntry';
 import { MeasuredEntry } from './measuredEntry';
-import { FakePlatform } from './publisher';
+import { FakePlatform } from './fakePlatform';
 
 /** Durations of the parts of a measurement. */
 export interface MeasurementTimes {
--- a/src/capacity/test/spreadModel.test.ts
+++ b/src/capacity/test/gossipModel.test.ts
@@ -1,4 +1,4 @@
-import { runGossipModel } from '../common/spreadModel';
+import { runGossipModel } from '../common/gossipModel';
 
 describe('computeSpread', () => {
 	// If only one instance reaches the platform, the manifest propagates from there to all other instances. If that
