--- a/src/demo/common/caller.ts
+++ b/src/demo/common/caller.ts
@@ -1,53 +1,56 @@
 /**
- * What the demo's callers send and get.
+ * The HTTP client interface of the demo, with its request and answer types.
  */
 
 import { headers } from '../../core/headers/common/headers';
 
-/** One request. */
-export interface CallQuestion {
+/** An HTTP request of a caller. */
+export interface CallRequest {
 	readonly method: string;
 	readonly url: string;
 	readonly headers?: Readonly<Record<string, string>>;
 	readonly body?: Uint8Array | string;
 }
 
-/** What came back. */
+/** The answer to a request, or the error that prevented it. */
 export interface CallAnswer {
-	/** HTTP status, or 0 where no head arrived. */
+	/** HTTP status, or 0 when no response head arrived. */
 	readonly status: number;
 	readonly headers: Readonly<Record<string, string>>;
 	readonly body: Uint8Array;
-	/** Why the answer is not whole; empty for a whole one. */
+	/** The error that left the answer incomplete. Empty for a complete answer. */
 	readonly fault: string;
 	readonly tookMs: number;
 }
 
-/** Sends requests. */
+/** Sends requests and simulates callers that disconnect early. */
 export interface ICaller {
-	send(question: CallQuestion): Promise<CallAnswer>;
-	/** Reads so many bytes of an answer and goes away; gives the number of bytes read. */
-	cancelAfter(question: CallQuestion, bytes: number): Promise<number>;
-	/** Sends half of the body and breaks the connection. */
-	cancelUpload(question: CallQuestion): Promise<void>;
+	send(request: CallRequest): Promise<CallAnswer>;
+	/**
+	 * Reads at least `minBytes` of the answer, or all of a shorter one, and disconnects. Returns the number
+	 * of bytes read.
+	 */
+	cancelAfter(request: CallRequest, minBytes: number): Promise<number>;
+	/** Sends the first half of the body and closes the connection. */
+	cancelUpload(request: CallRequest): Promise<void>;
 }
 
-/** The outcome that an answer tells, or an empty text. */
+/** Returns the outcome header of an answer, or an empty string. */
 export function getOutcome(answer: CallAnswer): string {
 	return answer.headers[headers.outcome] ?? '';
 }
 
-/** The error kind that an answer tells, or an empty text. */
+/** Returns the error kind header of an answer, or an empty string. */
 export function getErrorKind(answer: CallAnswer): string {
 	return answer.headers[headers.error] ?? '';
 }
 
-/** The body as text. */
+/** Decodes the body of an answer as text. */
 export function getText(answer: CallAnswer): string {
 	return new TextDecoder().decode(answer.body);
 }
 
-/** The body as JSON, or undefined where it is none. */
+/** Parses the body of an answer as JSON. Returns undefined when the body is not valid JSON. */
 export function parseJson(answer: CallAnswer): unknown {
 	try {
 		return JSON.parse(getText(answer));
@@ -56,19 +59,19 @@
 	}
 }
 
-/** Whether two bodies are the same, byte for byte. */
+/** Whether two bodies are identical, byte for byte. */
 export function isSameBody(left: Uint8Array, right: Uint8Array): boolean {
 	return left.length === right.length && left.every((byte, index) => byte === right[index]);
 }
 
-/** An answer in a few words, for the table. */
+/** Formats status, outcome, error kind and error of an answer for the table. */
 export function describeAnswer(answer: CallAnswer): string {
 	const outcome = getOutcome(answer);
 	const parts = [
 		answer.status === 0 ? 'no answer' : String(answer.status),
 		outcome === '' ? '' : outcome,
 		getErrorKind(answer),
-		answer.fault === '' ? '' : `cut: ${answer.fault}`,
+		answer.fault === '' ? '' : `error: ${answer.fault}`,
 	];
 	return parts.filter(part => part !== '').join(' ');
 }
--- a/src/demo/common/deploymentAddresses.ts
+++ b/src/demo/common/deploymentAddresses.ts
@@ -1,8 +1,9 @@
 /**
- * Every address of a running deployment. `npm run demo -- --hold` prints this document as its first line.
+ * The addresses of all processes and targets of a running deployment. `npm run demo -- --hold` prints them as
+ * a JSON document on its first line.
  */
 
-/** One entry and its ports. */
+/** Addresses of one entry, the proxy process that callers connect to. */
 export interface EntryAddresses {
 	readonly instance: string;
 	readonly region: string;
@@ -16,7 +17,7 @@
 	readonly pid: number;
 }
 
-/** One target and the admin port that switches its faults. */
+/** Addresses of one target, with the admin port that configures its faults. */
 export interface TargetAddresses {
 	readonly id: string;
 	readonly service: string;
@@ -26,40 +27,41 @@
 	readonly admin: string;
 }
 
-/** One relay of a link. */
+/** Addresses of the relay that simulates a link between regions. */
 export interface LinkAddresses {
 	readonly name: string;
-	/** Where it listens, as `host:port`. */
+	/** The address on which the relay accepts connections, as `host:port`. */
 	readonly listen: string;
 	readonly admin: string;
 }
 
-/** One process of stand-ins. */
+/** Addresses of one process that hosts stand-ins. */
 export interface StandinAddresses {
 	readonly name: string;
 	readonly admin: string;
 	readonly pid: number;
 }
 
-/** The whole deployment. */
+/** Addresses of the whole deployment. */
 export interface DeploymentAddresses {
 	readonly ready: true;
 	readonly entries: readonly EntryAddresses[];
 	readonly targets: readonly TargetAddresses[];
 	readonly links: readonly LinkAddresses[];
 	readonly standins: readonly StandinAddresses[];
-	/** Base URL of the platform, and its admin port. */
+	/** Base URL of the platform stand-in. */
 	readonly platform: string;
+	/** Base URL of the admin port of the platform stand-in. */
 	readonly platformAdmin: string;
 }
 
-/** The entries of one region, in the order of their names. */
-export function listEntriesOf(addresses: DeploymentAddresses, region: string): EntryAddresses[] {
+/** Lists the entries of one region, in the order of their names. */
+export function listEntriesInRegion(addresses: DeploymentAddresses, region: string): EntryAddresses[] {
 	return addresses.entries.filter(entry => entry.region === region);
 }
 
-/** The targets of one service in one region. */
-export function listTargetsOf(
+/** Lists the targets of one service in one region. */
+export function listTargetsInRegion(
 	addresses: DeploymentAddresses,
 	service: string,
 	region: string,
--- a/src/demo/common/poll.ts
+++ b/src/demo/common/poll.ts
@@ -1,32 +1,32 @@
 /**
- * Waits for something that can only be asked for, such as another process's readiness.
+ * Timed waits and polling, for conditions without a notification such as the readiness of another process.
  */
 
 import type { ITimerService } from '../../base/common/timerService';
 
-const pollPeriodMs = 50;
+const pollIntervalMs = 50;
 
-/** Waits for a time. */
+/** Resolves after `delayMs`. */
 export function waitFor(timers: ITimerService, delayMs: number): Promise<void> {
 	return new Promise(resolve => {
 		timers.schedule(delayMs, resolve);
 	});
 }
 
-/** Asks until the answer is yes, and gives false when it still is not after `limitMs`. */
+/** Polls a condition until it is met. Resolves to false when it is still unmet after `timeoutMs`. */
 export async function waitUntil(
 	timers: ITimerService,
-	limitMs: number,
-	ask: () => Promise<boolean>,
+	timeoutMs: number,
+	isConditionMet: () => Promise<boolean>,
 ): Promise<boolean> {
-	const endMs = timers.getNow() + limitMs;
+	const endMs = timers.getNow() + timeoutMs;
 	for (;;) {
-		if (await ask()) {
+		if (await isConditionMet()) {
 			return true;
 		}
 		if (timers.getNow() >= endMs) {
 			return false;
 		}
-		await waitFor(timers, pollPeriodMs);
+		await waitFor(timers, pollIntervalMs);
 	}
 }
--- a/src/demo/common/report.ts
+++ b/src/demo/common/report.ts
@@ -1,28 +1,28 @@
 /**
- * The table of the demo: what each caller asked, had to receive and received.
+ * Formats the results of the scenarios as a table.
  */
 
-import type { IScene, Observation } from './scene';
+import type { IScenario, Observation } from './scene';
 
-/** A scene with what came of it. */
-export interface SceneResult {
-	readonly scene: Pick<IScene, 'who' | 'asks' | 'expects'>;
+/** A scenario and its result. */
+export interface ScenarioResult {
+	readonly scenario: Pick<IScenario, 'caller' | 'request' | 'expects'>;
 	readonly observation: Observation;
 }
 
-/** Renders a head and rows as columns of text. */
+/** Renders a header row and data rows as aligned columns of text. */
 export type TableRenderer = (head: readonly string[], rows: readonly (readonly string[])[]) => string;
 
-/** The table in the order of the scenes; below it, what those that went wrong had to receive. */
-export function renderResults(results: readonly SceneResult[], renderTable: TableRenderer): string {
-	const rows = results.map(({ scene, observation }) => [
-		observation.isRight ? 'right' : 'WRONG',
-		scene.who,
-		scene.asks,
+/** Renders one row for each scenario, followed by the expected result of each failed scenario. */
+export function renderResults(results: readonly ScenarioResult[], renderTable: TableRenderer): string {
+	const rows = results.map(({ scenario, observation }) => [
+		observation.isRight ? 'passed' : 'FAILED',
+		scenario.caller,
+		scenario.request,
 		observation.received,
 	]);
 	const wrong = results
 		.filter(({ observation }) => !observation.isRight)
-		.map(({ scene }) => `WRONG: ${scene.who}, ${scene.asks}: must receive ${scene.expects}`);
-	return [renderTable(['', 'caller', 'asks', 'received'], rows), ...wrong].join('\n');
+		.map(({ scenario }) => `FAILED: ${scenario.caller}, ${scenario.request}: expected ${scenario.expects}`);
+	return [renderTable(['', 'caller', 'request', 'received'], rows), ...wrong].join('\n');
 }
--- a/src/demo/common/scene.ts
+++ b/src/demo/common/scene.ts
@@ -1,5 +1,6 @@
 /**
- * A scene of the demo: one caller, what it asks, what it must receive, and what it did receive.
+ * The interface of a demo scenario (a caller, its request, the expected and the received result), and
+ * helpers that the scenarios share.
  */
 
 import type { IRandom } from '../../base/common/random';
@@ -7,40 +8,41 @@
 import { headers } from '../../core/headers/common/headers';
 import type { Manifest } from '../../core/manifest/common/manifest';
 import type { RequestClass } from '../../core/requests/common/requestClass';
-import type { CallQuestion, ICaller } from './caller';
+import type { CallRequest, ICaller } from './caller';
 import type { DeploymentAddresses, EntryAddresses } from './deploymentAddresses';
-import { listEntriesOf } from './deploymentAddresses';
-import type { StandinAdmin } from './standinAdmin';
+import { listEntriesInRegion } from './deploymentAddresses';
+import type { StandinAdminClient } from './standinAdmin';
 
-/** What scenes act on. */
-export interface Stage {
+/** A running deployment and the clients that scenarios use to act on it. */
+export interface DeploymentContext {
 	readonly addresses: DeploymentAddresses;
 	readonly manifest: Manifest;
 	readonly caller: ICaller;
-	readonly admin: StandinAdmin;
+	readonly admin: StandinAdminClient;
 	readonly timers: ITimerService;
 	readonly random: IRandom;
-	/** Publishes a manifest as the operators' pipeline does. */
+	/** Publishes a manifest through the platform, like the deployment pipeline of the operators. */
 	putManifest(manifest: Manifest): Promise<void>;
 }
 
-/** What a scene saw. */
+/** The result of a scenario. */
 export interface Observation {
+	/** Whether the received result is the expected one. */
 	readonly isRight: boolean;
-	/** In words, for the table. */
+	/** The received result as text for the table. */
 	readonly received: string;
 }
 
-/** One row of the demo's table. */
-export interface IScene {
-	/** Who calls, and where. */
-	readonly who: string;
-	readonly asks: string;
+/** One scenario, printed as one row of the demo's table. */
+export interface IScenario {
+	/** The kind of caller and its region. */
+	readonly caller: string;
+	readonly request: string;
 	readonly expects: string;
-	run(stage: Stage): Promise<Observation>;
+	run(context: DeploymentContext): Promise<Observation>;
 }
 
-/** What a call to a service carries beyond its path. */
+/** Path, headers and body of a call to a service. */
 export interface ServiceCall {
 	readonly service: string;
 	readonly path: string;
@@ -52,8 +54,8 @@
 	readonly body?: Uint8Array | string;
 }
 
-/** Makes a call to a service through the entry at a base URL. */
-export function createServiceCall(entryUrl: string, call: ServiceCall): CallQuestion {
+/** Builds the request for a call to a service through the entry at a base URL. */
+export function createServiceCall(entryUrl: string, call: ServiceCall): CallRequest {
 	return {
 		method: call.method ?? (call.body === undefined ? 'GET' : 'POST'),
 		url: `${entryUrl}/v1/services/${call.service}${call.path}`,
@@ -67,11 +69,11 @@
 	};
 }
 
-/** The n-th entry of a region, counted from 0. */
-export function getEntry(stage: Stage, region: string, index = 0): EntryAddresses {
-	const entry = listEntriesOf(stage.addresses, region)[index];
+/** Returns the entry with a zero-based index among the entries of a region. */
+export function getEntry(context: DeploymentContext, region: string, index = 0): EntryAddresses {
+	const entry = listEntriesInRegion(context.addresses, region)[index];
 	if (entry === undefined) {
-		throw new Error(`${region} has no entry ${index}`);
+		throw new Error(`region ${region} has no entry with index ${index}`);
 	}
 	return entry;
 }
--- a/src/demo/common/scenes/awayScenes.ts
+++ b/src/demo/common/scenes/awayScenes.ts
@@ -1,67 +1,70 @@
 /**
- * A region whose engines are all being drained. Callers there are served by another region, over the
- * link, and notice nothing but the distance.
+ * Scenarios in which all engines of a region are drained. Other regions serve the callers of that region over
+ * the link: answers are complete, with a higher latency.
  */
 
 import { TargetIntent } from '../../../core/manifest/common/manifest';
 import { RequestClass } from '../../../core/requests/common/requestClass';
 import { describeAnswer, getOutcome, isSameBody } from '../caller';
-import { listTargetsOf } from '../deploymentAddresses';
-import { countTokens, createInference, isWholeStream } from '../engineAnswers';
+import { listTargetsInRegion } from '../deploymentAddresses';
+import { countTokens, createInferenceBody, isCompleteStream } from '../engineAnswers';
 import { organisations, regions, services } from '../names';
 import { waitUntil } from '../poll';
-import type { IScene, Observation, Stage } from '../scene';
+import type { IScenario, Observation, DeploymentContext } from '../scene';
 import { createServiceCall, getEntry } from '../scene';
 import { createRandomBytes, largeBodyBytes } from './plainScenes';
 
-const drainLimitMs = 9_000;
-const draftTokens = 60;
-const who = 'planner, ocho';
+const drainTimeoutMs = 9_000;
+const streamTokens = 60;
+const caller = 'planner, ocho';
 
-async function countRequests(stage: Stage): Promise<number> {
+async function countEngineRequests(context: DeploymentContext): Promise<number> {
 	const counts = await Promise.all(
-		listTargetsOf(stage.addresses, services.assistant, regions.ocho).map(({ admin, id }) =>
-			stage.admin.readCounter(admin, id, 'requests'),
+		listTargetsInRegion(context.addresses, services.assistant, regions.ocho).map(({ admin, id }) =>
+			context.admin.readCounter(admin, id, 'requests'),
 		),
 	);
 	return counts.reduce((sum, count) => sum + count, 0);
 }
 
-/** Runs a call and tells whether it stayed away from the drained engines. */
-async function observeAway(stage: Stage, runCall: () => Promise<Observation>): Promise<Observation> {
-	const before = await countRequests(stage);
+/** Runs a call and checks that no request reached the drained engines meanwhile. */
+async function checkAvoidsDrainedEngines(
+	context: DeploymentContext,
+	runCall: () => Promise<Observation>,
+): Promise<Observation> {
+	const before = await countEngineRequests(context);
 	const observation = await runCall();
-	const reached = (await countRequests(stage)) - before;
+	const reached = (await countEngineRequests(context)) - before;
 	return {
 		isRight: observation.isRight && reached === 0,
-		received: `${observation.received}, ${reached} at the drained engines`,
+		received: `${observation.received}, ${reached} requests at the drained engines`,
 	};
 }
 
-class DrainScene implements IScene {
-	readonly who = 'build pipeline';
-	readonly asks = 'the engines of ocho to leave, by a new manifest';
-	readonly expects = 'no new work there within seconds';
+class DrainScenario implements IScenario {
+	readonly caller = 'build pipeline';
+	readonly request = 'a new manifest that drains the engines of ocho';
+	readonly expects = 'no new requests at these engines within seconds';
 
-	async run(stage: Stage): Promise<Observation> {
-		const targets = stage.manifest.targets.map(target =>
+	async run(context: DeploymentContext): Promise<Observation> {
+		const targets = context.manifest.targets.map(target =>
 			target.region === regions.ocho && target.service === services.assistant
 				? { ...target, intent: TargetIntent.Leaving }
 				: target,
 		);
-		const startMs = stage.timers.getNow();
-		await stage.putManifest({ ...stage.manifest, targets });
-		const isDrained = await waitUntil(stage.timers, drainLimitMs, () => this.isServedElsewhere(stage));
-		const tookMs = Math.round(stage.timers.getNow() - startMs);
-		return { isRight: isDrained, received: isDrained ? `in force after ${tookMs} ms` : 'not in force' };
+		const startMs = context.timers.getNow();
+		await context.putManifest({ ...context.manifest, targets });
+		const isDrained = await waitUntil(context.timers, drainTimeoutMs, () => this.isServedElsewhere(context));
+		const tookMs = Math.round(context.timers.getNow() - startMs);
+		return { isRight: isDrained, received: isDrained ? `applied after ${tookMs} ms` : 'not applied' };
 	}
 
-	private async isServedElsewhere(stage: Stage): Promise<boolean> {
-		const before = await countRequests(stage);
+	private async isServedElsewhere(context: DeploymentContext): Promise<boolean> {
+		const before = await countEngineRequests(context);
 		const outcomes = await Promise.all(
 			[0, 1].map(async index => {
-				const { callers } = getEntry(stage, regions.ocho, index);
-				const answer = await stage.caller.send(
+				const { callers } = getEntry(context, regions.ocho, index);
+				const answer = await context.caller.send(
 					createServiceCall(callers, {
 						service: services.assistant,
 						path: '/echo',
@@ -72,21 +75,21 @@
 				return getOutcome(answer);
 			}),
 		);
-		const reached = (await countRequests(stage)) - before;
+		const reached = (await countEngineRequests(context)) - before;
 		return reached === 0 && outcomes.every(outcome => outcome === 'answered');
 	}
 }
 
-class AwayBodyScene implements IScene {
-	readonly who = who;
-	readonly asks = 'an echo of 1 MiB, answered in another region';
+class RemoteBodyScenario implements IScenario {
+	readonly caller = caller;
+	readonly request = 'an echo of 1 MiB, answered in another region';
 	readonly expects = 'the same bytes';
 
-	async run(stage: Stage): Promise<Observation> {
-		const body = createRandomBytes(stage, largeBodyBytes);
-		return observeAway(stage, async () => {
-			const answer = await stage.caller.send(
-				createServiceCall(getEntry(stage, regions.ocho).callers, {
+	async run(context: DeploymentContext): Promise<Observation> {
+		const body = createRandomBytes(context, largeBodyBytes);
+		return checkAvoidsDrainedEngines(context, async () => {
+			const answer = await context.caller.send(
+				createServiceCall(getEntry(context, regions.ocho).callers, {
 					service: services.assistant,
 					path: '/echo',
 					organisation: organisations.ocho,
@@ -102,31 +105,31 @@
 	}
 }
 
-class AwayDraftScene implements IScene {
-	readonly who = who;
-	readonly asks = `a streamed draft of ${draftTokens} tokens, answered in another region`;
+class RemoteStreamScenario implements IScenario {
+	readonly caller = caller;
+	readonly request = `a streamed draft of ${streamTokens} tokens, answered in another region`;
 	readonly expects = 'every token once and in order';
 
-	async run(stage: Stage): Promise<Observation> {
-		return observeAway(stage, async () => {
-			const answer = await stage.caller.send(
-				createServiceCall(getEntry(stage, regions.ocho, 1).callers, {
+	async run(context: DeploymentContext): Promise<Observation> {
+		return checkAvoidsDrainedEngines(context, async () => {
+			const answer = await context.caller.send(
+				createServiceCall(getEntry(context, regions.ocho, 1).callers, {
 					service: services.assistant,
 					path: '/drafts',
 					organisation: organisations.ocho,
 					requestClass: RequestClass.Draft,
-					body: createInference('Plan the season for the cliff homes.', draftTokens, true),
+					body: createInferenceBody('Plan the season for the cliff homes.', streamTokens, true),
 				}),
 			);
 			return {
-				isRight: getOutcome(answer) === 'answered' && isWholeStream(answer, draftTokens),
+				isRight: getOutcome(answer) === 'answered' && isCompleteStream(answer, streamTokens),
 				received: `${describeAnswer(answer)}, ${countTokens(answer)} tokens in ${Math.round(answer.tookMs)} ms`,
 			};
 		});
 	}
 }
 
-/** The scenes, in their order; they leave the region drained. */
-export function createAwayScenes(): IScene[] {
-	return [new DrainScene(), new AwayBodyScene(), new AwayDraftScene()];
+/** Creates the scenarios in their order. They leave the region drained. */
+export function createDrainScenarios(): IScenario[] {
+	return [new DrainScenario(), new RemoteBodyScenario(), new RemoteStreamScenario()];
 }
--- a/src/demo/common/scenes/plainScenes.ts
+++ b/src/demo/common/scenes/plainScenes.ts
@@ -1,34 +1,38 @@
 /**
- * Callers for whom everything goes well: a lookup, a question, a draft, a read and a large body.
+ * Scenarios with successful calls: a lookup, a question, a streamed draft, a read and a large body.
  */
 
 import { RequestClass } from '../../../core/requests/common/requestClass';
 import { describeAnswer, getOutcome, isSameBody } from '../caller';
-import { listTargetsOf } from '../deploymentAddresses';
-import { countTokens, createInference, isWholeAnswer, isWholeStream } from '../engineAnswers';
+import { listTargetsInRegion } from '../deploymentAddresses';
+import { countTokens, createInferenceBody, isCompleteAnswer, isCompleteStream } from '../engineAnswers';
 import { fetchLookup } from '../lookup';
 import { organisations, regions, services } from '../names';
-import type { IScene, Observation, Stage } from '../scene';
+import type { IScenario, Observation, DeploymentContext } from '../scene';
 import { createServiceCall, getEntry } from '../scene';
 
 const answerTokens = 8;
 const draftTokens = 120;
 const readBytes = 200_000;
 export const largeBodyBytes = 1_048_576;
-const byteRange = 256;
+const byteValueCount = 256;
 
-/** Bytes that no other run of the same source sends. */
-export function createRandomBytes(stage: Stage, length: number): Uint8Array {
-	return Uint8Array.from({ length }, () => stage.random.pickBelow(byteRange));
+/** Creates a body from the seeded random source, so that each body of a run differs. */
+export function createRandomBytes(context: DeploymentContext, length: number): Uint8Array {
+	return Uint8Array.from({ length }, () => context.random.pickBelow(byteValueCount));
 }
 
-class LookupScene implements IScene {
-	readonly who = 'crew app, kingston';
-	readonly asks = 'which entries serve round-assistant';
-	readonly expects = 'its own region first';
+class LookupScenario implements IScenario {
+	readonly caller = 'crew app, kingston';
+	readonly request = 'a lookup of the entries for round-assistant';
+	readonly expects = 'an entry of its own region first';
 
-	async run(stage: Stage): Promise<Observation> {
-		const lookup = await fetchLookup(stage, getEntry(stage, regions.kingston).callers, services.assistant);
+	async run(context: DeploymentContext): Promise<Observation> {
+		const lookup = await fetchLookup(
+			context,
+			getEntry(context, regions.kingston).callers,
+			services.assistant,
+		);
 		const first = lookup?.entries[0];
 		return {
 			isRight: first?.region === regions.kingston,
@@ -37,61 +41,61 @@
 	}
 }
 
-class QuestionScene implements IScene {
-	readonly who = 'crew in the van, montego';
-	readonly asks = 'a short urgent question';
-	readonly expects = 'the whole answer';
+class QuestionScenario implements IScenario {
+	readonly caller = 'crew in the van, montego';
+	readonly request = 'a short urgent question';
+	readonly expects = 'the complete answer';
 
-	async run(stage: Stage): Promise<Observation> {
-		const answer = await stage.caller.send(
-			createServiceCall(getEntry(stage, regions.montego).callers, {
+	async run(context: DeploymentContext): Promise<Observation> {
+		const answer = await context.caller.send(
+			createServiceCall(getEntry(context, regions.montego).callers, {
 				service: services.assistant,
 				path: '/questions',
 				organisation: organisations.montego,
 				requestClass: RequestClass.Urgent,
-				body: createInference('Which gate is open at the bay offices?', answerTokens, false),
+				body: createInferenceBody('Which gate is open at the bay offices?', answerTokens, false),
 			}),
 		);
 		return {
-			isRight: getOutcome(answer) === 'answered' && isWholeAnswer(answer, answerTokens),
+			isRight: getOutcome(answer) === 'answered' && isCompleteAnswer(answer, answerTokens),
 			received: `${describeAnswer(answer)}, ${answer.body.length} bytes`,
 		};
 	}
 }
 
-class DraftScene implements IScene {
-	readonly who = 'planner, kingston';
-	readonly asks = `a season plan, streamed, ${draftTokens} tokens`;
+class DraftScenario implements IScenario {
+	readonly caller = 'planner, kingston';
+	readonly request = `a season plan, streamed, ${draftTokens} tokens`;
 	readonly expects = 'every token once and in order';
 
-	async run(stage: Stage): Promise<Observation> {
-		const answer = await stage.caller.send(
-			createServiceCall(getEntry(stage, regions.kingston, 1).callers, {
+	async run(context: DeploymentContext): Promise<Observation> {
+		const answer = await context.caller.send(
+			createServiceCall(getEntry(context, regions.kingston, 1).callers, {
 				service: services.assistant,
 				path: '/drafts',
 				organisation: organisations.kingston,
 				requestClass: RequestClass.Draft,
-				body: createInference('Plan the season for the harbour hotel.', draftTokens, true),
+				body: createInferenceBody('Plan the season for the harbour hotel.', draftTokens, true),
 			}),
 		);
 		return {
-			isRight: getOutcome(answer) === 'answered' && isWholeStream(answer, draftTokens),
+			isRight: getOutcome(answer) === 'answered' && isCompleteStream(answer, draftTokens),
 			received: `${describeAnswer(answer)}, ${countTokens(answer)} tokens`,
 		};
 	}
 }
 
-class ReadScene implements IScene {
-	readonly who = 'customer, ocho';
-	readonly asks = `a read of ${readBytes} bytes from bookings`;
-	readonly expects = 'the bytes that the service itself sends';
+class ReadScenario implements IScenario {
+	readonly caller = 'customer, ocho';
+	readonly request = `a read of ${readBytes} bytes from bookings`;
+	readonly expects = 'the same bytes as directly from the service';
 
-	async run(stage: Stage): Promise<Observation> {
+	async run(context: DeploymentContext): Promise<Observation> {
 		const path = `/bytes?n=${readBytes}`;
-		const target = listTargetsOf(stage.addresses, services.bookings, regions.ocho)[0];
-		const direct = await stage.caller.send({ method: 'GET', url: `${target?.url ?? ''}${path}` });
-		const answer = await stage.caller.send(
-			createServiceCall(getEntry(stage, regions.ocho).callers, {
+		const target = listTargetsInRegion(context.addresses, services.bookings, regions.ocho)[0];
+		const direct = await context.caller.send({ method: 'GET', url: `${target?.url ?? ''}${path}` });
+		const answer = await context.caller.send(
+			createServiceCall(getEntry(context, regions.ocho).callers, {
 				service: services.bookings,
 				path,
 				organisation: organisations.ocho,
@@ -104,15 +108,15 @@
 	}
 }
 
-class LargeBodyScene implements IScene {
-	readonly who = 'office, kingston';
-	readonly asks = 'an echo of 1 MiB in its own region';
+class LargeBodyScenario implements IScenario {
+	readonly caller = 'office, kingston';
+	readonly request = 'an echo of 1 MiB, answered in its own region';
 	readonly expects = 'the same bytes';
 
-	async run(stage: Stage): Promise<Observation> {
-		const body = createRandomBytes(stage, largeBodyBytes);
-		const answer = await stage.caller.send(
-			createServiceCall(getEntry(stage, regions.kingston, 2).callers, {
+	async run(context: DeploymentContext): Promise<Observation> {
+		const body = createRandomBytes(context, largeBodyBytes);
+		const answer = await context.caller.send(
+			createServiceCall(getEntry(context, regions.kingston, 2).callers, {
 				service: services.bookings,
 				path: '/echo',
 				organisation: organisations.kingston,
@@ -126,7 +130,13 @@
 	}
 }
 
-/** The scenes, in their order. */
-export function createPlainScenes(): IScene[] {
-	return [new LookupScene(), new QuestionScene(), new DraftScene(), new ReadScene(), new LargeBodyScene()];
+/** Creates the scenarios in their order. */
+export function createSuccessScenarios(): IScenario[] {
+	return [
+		new LookupScenario(),
+		new QuestionScenario(),
+		new DraftScenario(),
+		new ReadScenario(),
+		new LargeBodyScenario(),
+	];
 }
--- a/src/demo/common/scenes/refusedScenes.ts
+++ b/src/demo/common/scenes/refusedScenes.ts
@@ -1,22 +1,22 @@
 /**
- * Callers with something wrong in their request: each gets a kind of the closed list and the promise that
- * nothing was run.
+ * Scenarios with invalid requests. Each is refused with an error kind of the fixed list and the
+ * outcome "not-run", which guarantees that no target ran the request.
  */
 
 import { headers } from '../../../core/headers/common/headers';
 import { describeAnswer, getErrorKind, getOutcome, parseJson } from '../caller';
-import { parseNamedEntries } from '../lookup';
+import { parseAdvertisedEntries } from '../lookup';
 import { organisations, regions, services } from '../names';
-import type { IScene, Observation, ServiceCall, Stage } from '../scene';
+import type { IScenario, Observation, ServiceCall, DeploymentContext } from '../scene';
 import { createServiceCall, getEntry } from '../scene';
 
-/** A request that must be refused in one way. */
-class RefusedScene implements IScene {
-	readonly who = 'careless program, kingston';
+/** A request that must be refused with one status and error kind. */
+class RefusalScenario implements IScenario {
+	readonly caller = 'careless program, kingston';
 	readonly expects: string;
 
 	constructor(
-		readonly asks: string,
+		readonly request: string,
 		private readonly call: ServiceCall,
 		private readonly status: number,
 		private readonly errorKind: string,
@@ -24,9 +24,9 @@
 		this.expects = `${status} not-run ${errorKind}`;
 	}
 
-	async run(stage: Stage): Promise<Observation> {
-		const { callers } = getEntry(stage, regions.kingston);
-		const answer = await stage.caller.send(createServiceCall(callers, this.call));
+	async run(context: DeploymentContext): Promise<Observation> {
+		const { callers } = getEntry(context, regions.kingston);
+		const answer = await context.caller.send(createServiceCall(callers, this.call));
 		const isRight =
 			answer.status === this.status &&
 			getOutcome(answer) === 'not-run' &&
@@ -35,67 +35,70 @@
 	}
 }
 
-class WrongRegionScene implements IScene {
-	readonly who = 'office of montego, calling ocho';
-	readonly asks = 'a read that is bound to montego';
-	readonly expects = '421 naming entries of montego; there it is answered';
+class WrongRegionScenario implements IScenario {
+	readonly caller = 'office of montego, calling ocho';
+	readonly request = 'a read for an organisation whose home is montego';
+	readonly expects = '421 with the entries of montego, then an answer from one of them';
 
-	async run(stage: Stage): Promise<Observation> {
+	async run(context: DeploymentContext): Promise<Observation> {
 		const call = { service: services.bookings, path: '/bytes?n=100', organisation: organisations.montego };
-		const refusal = await stage.caller.send(createServiceCall(getEntry(stage, regions.ocho).callers, call));
-		const named = parseNamedEntries(parseJson(refusal));
-		const isNamedRight = named.length > 0 && named.every(entry => entry.region === regions.montego);
-		if (refusal.status !== 421 || !isNamedRight) {
-			return { isRight: false, received: `${describeAnswer(refusal)}, ${named.length} entries named` };
+		const refusal = await context.caller.send(
+			createServiceCall(getEntry(context, regions.ocho).callers, call),
+		);
+		const advertised = parseAdvertisedEntries(parseJson(refusal));
+		const isRightRegion =
+			advertised.length > 0 && advertised.every(entry => entry.region === regions.montego);
+		if (refusal.status !== 421 || !isRightRegion) {
+			return { isRight: false, received: `${describeAnswer(refusal)}, ${advertised.length} entries listed` };
 		}
-		const answer = await stage.caller.send(createServiceCall(named[0]?.url ?? '', call));
+		const answer = await context.caller.send(createServiceCall(advertised[0]?.url ?? '', call));
 		return {
 			isRight: getOutcome(answer) === 'answered' && answer.body.length === 100,
-			received: `${refusal.status}, then at ${named[0]?.instance ?? ''} ${describeAnswer(answer)}`,
+			received: `${refusal.status}, then at ${advertised[0]?.instance ?? ''} ${describeAnswer(answer)}`,
 		};
 	}
 }
 
-/** One byte more than an entry takes where its settings say nothing else. */
+/** One byte above the default limit of an entry for request bodies. */
 const oversizedBodyBytes = 8 * 1_048_576 + 1;
 const oversizedHeader = 'x'.repeat(20_000);
 
-/** The scenes, in their order. */
-export function createRefusedScenes(): IScene[] {
+/** Creates the scenarios in their order. */
+export function createRefusalScenarios(): IScenario[] {
 	const read = { service: services.bookings, path: '/bytes?n=1', organisation: organisations.kingston };
 	return [
-		new WrongRegionScene(),
-		new RefusedScene(
+		new WrongRegionScenario(),
+		new RefusalScenario(
 			'a service that does not exist',
 			{ ...read, service: 'window-dreams' },
 			404,
 			'unknown-service',
 		),
-		new RefusedScene(
+		new RefusalScenario(
 			'a deadline of "soon"',
 			{ ...read, headers: { [headers.deadlineMs]: 'soon' } },
 			400,
 			'malformed-deadline',
 		),
-		new RefusedScene(
+		new RefusalScenario(
 			'no organisation',
 			{ service: read.service, path: read.path },
 			400,
 			'organisation-missing',
 		),
-		new RefusedScene(
+		new RefusalScenario(
 			'an organisation that does not exist',
 			{ ...read, organisation: 'no-such-hotel' },
 			403,
 			'organisation-unknown',
 		),
-		new RefusedScene(
+		new RefusalScenario(
 			'a head of 20 kB',
 			{ ...read, headers: { 'x-oversized': oversizedHeader } },
 			431,
 			'head-too-large',
 		),
-		new RefusedScene(
+		new RefusalScenario(
 			'a body of more than 8 MiB',
 			{ ...read, path: '/echo', body: new Uint8Array(oversizedBodyBytes) },
 			413,
--- a/src/demo/common/standinAdmin.ts
+++ b/src/demo/common/standinAdmin.ts
@@ -1,5 +1,5 @@
 /**
- * The admin ports of the stand-ins, as the demo uses them.
+ * A client for the admin ports of the stand-ins, the test doubles of the platform, the targets and the links.
  */
 
 import { z } from 'zod';
@@ -13,32 +13,32 @@
 });
 const countersSchema = z.record(z.string(), z.unknown());
 
-/** Publishes documents, switches faults and reads counters. */
-export class StandinAdmin {
+/** Publishes the documents of the platform, configures faults and reads counters. */
+export class StandinAdminClient {
 	constructor(private readonly caller: ICaller) {}
 
-	async putManifest(admin: string, document: string): Promise<void> {
-		await this.send('PUT', `${admin}/v1/platform/manifest`, document);
+	async putManifest(adminUrl: string, document: string): Promise<void> {
+		await this.send('PUT', `${adminUrl}/v1/platform/manifest`, document);
 	}
 
-	async putInstances(admin: string, document: string): Promise<void> {
-		await this.send('PUT', `${admin}/v1/platform/instances`, document);
+	async putInstances(adminUrl: string, document: string): Promise<void> {
+		await this.send('PUT', `${adminUrl}/v1/platform/instances`, document);
 	}
 
-	/** Merges a patch into the fault switches of one stand-in. */
-	async setFaults(admin: string, name: string, patch: object): Promise<void> {
-		await this.send('POST', `${admin}/v1/${name}/faults`, JSON.stringify(patch));
+	/** Merges a patch into the fault settings of one stand-in. */
+	async setFaults(adminUrl: string, name: string, patch: object): Promise<void> {
+		await this.send('POST', `${adminUrl}/v1/${name}/faults`, JSON.stringify(patch));
 	}
 
-	/** One counter of one stand-in. */
-	async readCounter(admin: string, name: string, counter: string): Promise<number> {
-		const answer = await this.send('GET', `${admin}/v1/${name}/counters`);
+	/** Reads one counter of one stand-in. */
+	async readCounter(adminUrl: string, name: string, counter: string): Promise<number> {
+		const answer = await this.send('GET', `${adminUrl}/v1/${name}/counters`);
 		return Number(countersSchema.parse(parseJson(answer))[counter]);
 	}
 
-	/** How often the plain services behind an admin port ran a call. */
-	async countRuns(admin: string, callId: string): Promise<number> {
-		const answer = await this.send('GET', `${admin}/v1/runs`);
+	/** Counts how often the plain services behind an admin port ran a call. */
+	async countRuns(adminUrl: string, callId: string): Promise<number> {
+		const answer = await this.send('GET', `${adminUrl}/v1/runs`);
 		return runsSchema
 			.parse(parseJson(answer))
 			.services.flatMap(service => service.calls)
--- a/src/demo/node/demoProgram.ts
+++ b/src/demo/node/demoProgram.ts
@@ -1,71 +1,71 @@
 /**
- * The demo: brings the example of Braithwaite up as separate processes, runs callers of all kinds through
- * it, prints what each received and takes everything down again.
+ * The demo program: starts an example deployment as separate processes, runs the scenarios against it, prints
+ * their results and stops the deployment.
  */
 
 import { Disposable } from '../../base/common/lifecycle';
 import { SeededRandom } from '../../base/common/random';
 import { SystemTimerService } from '../../base/node/systemTimerService';
-import type { SceneResult, TableRenderer } from '../common/report';
+import type { ScenarioResult, TableRenderer } from '../common/report';
 import { renderResults } from '../common/report';
-import type { IScene, Stage } from '../common/scene';
-import { createAwayScenes } from '../common/scenes/awayScenes';
-import { createBusyScenes } from '../common/scenes/busyScenes';
-import { createPaymentScenes } from '../common/scenes/paymentScenes';
-import { createPlainScenes } from '../common/scenes/plainScenes';
-import { createRefusedScenes } from '../common/scenes/refusedScenes';
-import { StandinAdmin } from '../common/standinAdmin';
+import type { IScenario, DeploymentContext } from '../common/scene';
+import { createDrainScenarios } from '../common/scenes/awayScenes';
+import { createOverloadScenarios } from '../common/scenes/busyScenes';
+import { createPaymentScenarios } from '../common/scenes/paymentScenes';
+import { createSuccessScenarios } from '../common/scenes/plainScenes';
+import { createRefusalScenarios } from '../common/scenes/refusedScenes';
+import { StandinAdminClient } from '../common/standinAdmin';
 import { Deployment } from './deployment';
 import { DeploymentFiles } from './deploymentFiles';
 import type { StopReport } from './fleet';
-import { Fleet, isCleanEnd } from './fleet';
+import { ProcessManager, isCleanEnd } from './fleet';
 import { HttpCaller } from './httpCaller';
 
-/** Where the demo finds what it runs. */
-export interface DemoPlaces {
+/** Folders that the demo reads. */
+export interface DemoPaths {
 	readonly exampleFolder: string;
-	/** Folder of the built programs. */
+	/** The folder of the compiled programs. */
 	readonly binFolder: string;
 }
 
 const seed = 20_260;
 
-/** One run of the demo. */
+/** Runs the demo once, or keeps its deployment running. */
 export class DemoProgram extends Disposable {
 	private readonly timers = this.register(new SystemTimerService());
-	private readonly fleet = this.register(new Fleet(this.timers));
+	private readonly processManager = this.register(new ProcessManager(this.timers));
 	private readonly caller = new HttpCaller(this.timers);
 
 	constructor(
-		private readonly places: DemoPlaces,
+		private readonly paths: DemoPaths,
 		private readonly renderTable: TableRenderer,
 	) {
 		super();
 	}
 
-	/** Runs the callers; gives whether each received what it must and each process ended by itself. */
+	/** Runs all scenarios. Returns whether each of them passed and each process exited with code 0. */
 	async run(): Promise<boolean> {
 		const deployment = await this.createDeployment();
-		const stage = await this.open(deployment);
-		const scenes = [
-			...createPlainScenes(),
-			...createPaymentScenes(),
-			...createRefusedScenes(),
-			...createBusyScenes(),
-			...createAwayScenes(),
+		const context = await this.open(deployment);
+		const scenarios = [
+			...createSuccessScenarios(),
+			...createPaymentScenarios(),
+			...createRefusalScenarios(),
+			...createOverloadScenarios(),
+			...createDrainScenarios(),
 		];
-		const results: SceneResult[] = [];
-		for (const scene of scenes) {
-			results.push(await runScene(scene, stage));
+		const results: ScenarioResult[] = [];
+		for (const scenario of scenarios) {
+			results.push(await runScenario(scenario, context));
 		}
 		print(renderResults(results, this.renderTable));
 		const isStopped = await this.stop(deployment);
 		const wrong = results.filter(({ observation }) => !observation.isRight).length;
-		print(`${results.length - wrong} of ${results.length} callers received what they must.`);
+		print(`${results.length - wrong} of ${results.length} scenarios passed.`);
 		return wrong === 0 && isStopped;
 	}
 
-	/** Prints every address as one line and stays up until `waitForEnd` resolves. */
+	/** Prints all addresses as one line of JSON and keeps the deployment running until `waitForEnd` resolves. */
 	async serve(waitForEnd: Promise<void>): Promise<boolean> {
 		const deployment = await this.createDeployment();
 		const { addresses } = await this.open(deployment);
@@ -75,18 +75,18 @@
 	}
 
 	private async createDeployment(): Promise<Deployment> {
-		const files = this.register(await DeploymentFiles.open(this.places.exampleFolder));
-		const admin = new StandinAdmin(this.caller);
-		return new Deployment(files, this.fleet, admin, this.caller, this.timers, this.places.binFolder);
+		const files = this.register(await DeploymentFiles.open(this.paths.exampleFolder));
+		const admin = new StandinAdminClient(this.caller);
+		return new Deployment(files, this.processManager, admin, this.caller, this.timers, this.paths.binFolder);
 	}
 
-	private async open(deployment: Deployment): Promise<Stage> {
+	private async open(deployment: Deployment): Promise<DeploymentContext> {
 		const addresses = await deployment.open();
 		return {
 			addresses,
 			manifest: deployment.manifest,
 			caller: this.caller,
-			admin: new StandinAdmin(this.caller),
+			admin: new StandinAdminClient(this.caller),
 			timers: this.timers,
 			random: new SeededRandom(seed),
 			putManifest: manifest => deployment.putManifest(manifest),
@@ -99,31 +99,31 @@
 		const unclean = reports.filter(report => !isCleanEnd(report.end));
 		for (const report of unclean) {
 			print(describeUncleanStop(report));
-			print(this.fleet.get(report.name).listLines().slice(-5).join('\n'));
+			print(this.processManager.get(report.name).listLines().slice(-5).join('\n'));
 		}
 		const slowest = Math.max(...reports.map(report => report.tookMs));
 		process.stderr.write(
-			`${reports.length - unclean.length} of ${reports.length} processes ended by themselves, ` +
+			`${reports.length - unclean.length} of ${reports.length} processes exited with code 0, ` +
 				`the last after ${Math.round(slowest)} ms.\n`,
 		);
 		return unclean.length === 0;
 	}
 }
 
-async function runScene(scene: IScene, stage: Stage): Promise<SceneResult> {
+async function runScenario(scenario: IScenario, context: DeploymentContext): Promise<ScenarioResult> {
 	try {
-		return { scene, observation: await scene.run(stage) };
+		return { scenario: scenario, observation: await scenario.run(context) };
 	} catch (error) {
 		const received = error instanceof Error ? error.message : String(error);
-		return { scene, observation: { isRight: false, received } };
+		return { scenario: scenario, observation: { isRight: false, received } };
 	}
 }
 
 function describeUncleanStop({ name, end }: StopReport): string {
 	if (end === undefined) {
-		return `${name} did not end by itself and was killed`;
+		return `${name} did not exit on SIGTERM and was killed`;
 	}
-	return `${name} ended with code ${String(end.code)}, signal ${String(end.signal)}`;
+	return `${name} exited with code ${String(end.code)}, signal ${String(end.signal)}`;
 }
 
 function print(text: string): void {
--- a/src/demo/node/deployment.ts
+++ b/src/demo/node/deployment.ts
@@ -1,6 +1,6 @@
 /**
- * Brings an example deployment up and down: stand-ins first, then the documents that the platform
- * publishes, then the entries.
+ * Starts and stops an example deployment. The start order is: stand-ins, documents of the platform, entries.
+ * Entries stop before the stand-ins that they depend on.
  */
 
 import { join } from 'node:path';
@@ -10,9 +10,9 @@
 import type { ICaller } from '../common/caller';
 import type { DeploymentAddresses, EntryAddresses, LinkAddresses } from '../common/deploymentAddresses';
 import type { DeploymentFiles } from './deploymentFiles';
-import type { Fleet, StopReport } from './fleet';
+import type { ProcessManager, StopReport } from './fleet';
 import { waitUntil } from '../common/poll';
-import type { StandinAdmin } from '../common/standinAdmin';
+import type { StandinAdminClient } from '../common/standinAdmin';
 
 const readyLineSchema = z.object({
 	ready: z.literal(true),
@@ -24,31 +24,31 @@
 interface RunningStandin {
 	readonly name: string;
 	readonly pid: number;
-	readonly line: ReadyLine;
+	readonly readyLine: ReadyLine;
 }
 
 const platformName = 'platform';
-const readyLimitMs = 30_000;
-const stopLimitMs = 20_000;
+const readyTimeoutMs = 30_000;
+const stopTimeoutMs = 20_000;
 
-/** A deployment of processes on this machine. */
+/** An example deployment whose processes run on this machine. */
 export class Deployment {
 	private standins: readonly RunningStandin[] = [];
 	readonly manifest: Manifest;
 
 	constructor(
 		private readonly files: DeploymentFiles,
-		private readonly fleet: Fleet,
-		private readonly admin: StandinAdmin,
+		private readonly processManager: ProcessManager,
+		private readonly admin: StandinAdminClient,
 		private readonly caller: ICaller,
 		private readonly timers: ITimerService,
-		/** Where the built programs are. */
+		/** The folder of the compiled programs. */
 		private readonly binFolder: string,
 	) {
 		this.manifest = files.readManifest();
 	}
 
-	/** Starts everything and resolves when every entry is ready. */
+	/** Starts all processes and resolves when every entry is ready. */
 	async open(): Promise<DeploymentAddresses> {
 		this.standins = await Promise.all(this.files.listStandinNames().map(name => this.startStandin(name)));
 		await this.admin.putInstances(this.getPlatformAdmin(), this.files.readInstances());
@@ -57,67 +57,67 @@
 			this.startProgram(name, 'entry.js');
 		}
 		await Promise.all(this.files.listEntryNames().map(name => this.waitForReady(name)));
-		return this.describe();
+		return this.describeAddresses();
 	}
 
-	/** Publishes a manifest; the platform gives it the next version. */
+	/** Publishes a manifest. The platform assigns the next version to it. */
 	async putManifest(manifest: Manifest): Promise<void> {
 		await this.admin.putManifest(this.getPlatformAdmin(), JSON.stringify(manifest));
 	}
 
-	/** Asks the entries to stop, then the stand-ins. */
+	/** Stops the entries and then the stand-ins. */
 	async stop(): Promise<StopReport[]> {
-		const entries = await this.fleet.stopAll(this.files.listEntryNames(), stopLimitMs);
-		const standins = await this.fleet.stopAll(this.files.listStandinNames(), stopLimitMs);
+		const entries = await this.processManager.stopAll(this.files.listEntryNames(), stopTimeoutMs);
+		const standins = await this.processManager.stopAll(this.files.listStandinNames(), stopTimeoutMs);
 		return [...entries, ...standins];
 	}
 
-	/** Waits for an entry to say that it is ready; fails where it ended or is not in time. */
+	/** Waits until an entry reports readiness. Fails when its process ends or is not ready in time. */
 	async waitForReady(entryName: string): Promise<void> {
 		const { host, port } = this.files.readEntrySettings(entryName).operators.listen;
-		const isReady = await waitUntil(this.timers, readyLimitMs, async () => {
-			if (this.fleet.get(entryName).getEnd() !== undefined) {
-				throw new Error(this.describeFailure(entryName, 'ended early'));
+		const isReady = await waitUntil(this.timers, readyTimeoutMs, async () => {
+			if (this.processManager.get(entryName).getEnd() !== undefined) {
+				throw new Error(this.describeStartFailure(entryName, 'exited before it was ready'));
 			}
 			const answer = await this.caller.send({ method: 'GET', url: `http://${host}:${port}/readyz` });
 			return answer.status === 200;
 		});
 		if (!isReady) {
-			throw new Error(this.describeFailure(entryName, `was not ready within ${readyLimitMs} ms`));
+			throw new Error(this.describeStartFailure(entryName, `was not ready within ${readyTimeoutMs} ms`));
 		}
 	}
 
-	private describeFailure(name: string, problem: string): string {
-		return `${name} ${problem}; its last lines:\n${this.fleet.get(name).listLines().slice(-10).join('\n')}`;
+	private describeStartFailure(name: string, problem: string): string {
+		return `${name} ${problem}; last lines of output:\n${this.processManager.get(name).listLines().slice(-10).join('\n')}`;
 	}
 
-	private startProgram(name: string, program: string): ReturnType<Fleet['start']> {
-		return this.fleet.start({
+	private startProgram(name: string, program: string): ReturnType<ProcessManager['start']> {
+		return this.processManager.start({
 			name,
 			program: join(this.binFolder, program),
-			commandLine: ['--settings', this.files.getSettingsPath(name)],
+			args: ['--settings', this.files.getSettingsPath(name)],
 		});
 	}
 
 	private async startStandin(name: string): Promise<RunningStandin> {
 		const managed = this.startProgram(name, 'standin.js');
-		return { name, pid: managed.pid, line: await managed.waitForLine(parseReadyLine) };
+		return { name, pid: managed.pid, readyLine: await managed.waitForLine(parseReadyLine) };
 	}
 
 	private getPlatform(): RunningStandin {
-		const platform = this.standins.find(({ line }) => platformName in line.addresses);
+		const platform = this.standins.find(({ readyLine }) => platformName in readyLine.addresses);
 		if (platform === undefined) {
-			throw new Error('no stand-in hosts a platform');
+			throw new Error('no stand-in process hosts a platform');
 		}
 		return platform;
 	}
 
 	private getPlatformAdmin(): string {
-		return this.getPlatform().line.admin;
+		return this.getPlatform().readyLine.admin;
 	}
 
-	private describe(): DeploymentAddresses {
-		const { line } = this.getPlatform();
+	private describeAddresses(): DeploymentAddresses {
+		const { readyLine } = this.getPlatform();
 		return {
 			ready: true,
 			entries: this.files.listEntryNames().map(name => this.describeEntry(name)),
@@ -127,12 +127,12 @@
 				region,
 				zone,
 				url,
-				admin: this.findAdminOf(id),
+				admin: this.findAdminUrl(id),
 			})),
 			links: this.standins.flatMap(standin => listLinks(standin)),
-			standins: this.standins.map(({ name, pid, line: { admin } }) => ({ name, pid, admin })),
-			platform: line.addresses[platformName] ?? '',
-			platformAdmin: line.admin,
+			standins: this.standins.map(({ name, pid, readyLine: { admin } }) => ({ name, pid, admin })),
+			platform: readyLine.addresses[platformName] ?? '',
+			platformAdmin: readyLine.admin,
 		};
 	}
 
@@ -145,20 +145,20 @@
 			callers: callers.url,
 			peers: peers.url,
 			operators: `http://${operators.listen.host}:${operators.listen.port}`,
-			pid: this.fleet.get(name).pid,
+			pid: this.processManager.get(name).pid,
 		};
 	}
 
-	private findAdminOf(standinName: string): string {
-		return this.standins.find(({ line }) => standinName in line.addresses)?.line.admin ?? '';
+	private findAdminUrl(standinName: string): string {
+		return this.standins.find(({ readyLine }) => standinName in readyLine.addresses)?.readyLine.admin ?? '';
 	}
 }
 
-/** Links are told as `host:port`, HTTP stand-ins as URLs. */
-function listLinks({ line }: RunningStandin): LinkAddresses[] {
-	return Object.entries(line.addresses)
+/** Lists the links of a stand-in process. A ready line has links as `host:port` and HTTP stand-ins as URLs. */
+function listLinks({ readyLine }: RunningStandin): LinkAddresses[] {
+	return Object.entries(readyLine.addresses)
 		.filter(([, address]) => !address.includes('://'))
-		.map(([name, listen]) => ({ name, listen, admin: line.admin }));
+		.map(([name, listen]) => ({ name, listen, admin: readyLine.admin }));
 }
 
 function parseReadyLine(text: string): ReadyLine | undefined {
--- a/src/demo/node/deploymentFiles.ts
+++ b/src/demo/node/deploymentFiles.ts
@@ -1,5 +1,5 @@
 /**
- * The files of an example deployment, moved to free ports and written to a temporary folder.
+ * A copy of the files of an example deployment in a temporary folder, changed to use free ports.
  */
 
 import { mkdtempSync, readdirSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
@@ -18,22 +18,22 @@
 const entryPrefix = 'entry-';
 const standinPrefix = 'standin-';
 
-/** A deployment's files in use; disposing of them removes the folder. */
+/** The copied files of a deployment. Disposing removes the temporary folder. */
 export class DeploymentFiles implements IDisposable {
 	private constructor(
 		private readonly folder: string,
 		private readonly texts: ReadonlyMap<string, string>,
 	) {}
 
-	/** Reads an example and writes it anew with ports that are free here. */
+	/** Copies an example and replaces its ports with ports that are free on this machine. */
 	static async open(exampleFolder: string): Promise<DeploymentFiles> {
 		const names = readdirSync(exampleFolder).filter(name => /\.(ini|json)$/.test(name));
 		const originals = names.map(name => readFileSync(join(exampleFolder, name), 'utf8'));
 		const ports = listPorts(originals);
-		const free = await findFreePorts(ports.length);
-		const map = new Map(ports.map((port, index) => [port, free[index] ?? port]));
+		const freePorts = await findFreePorts(ports.length);
+		const portMap = new Map(ports.map((port, index) => [port, freePorts[index] ?? port]));
 		const folder = mkdtempSync(join(tmpdir(), 'anvilroad-'));
-		const texts = new Map(names.map((name, index) => [name, applyPortMap(originals[index] ?? '', map)]));
+		const texts = new Map(names.map((name, index) => [name, applyPortMap(originals[index] ?? '', portMap)]));
 		for (const [name, text] of texts) {
 			writeFileSync(join(folder, name), text);
 		}
@@ -44,7 +44,7 @@
 		rmSync(this.folder, { recursive: true, force: true });
 	}
 
-	/** Names of the entries, which are those of their settings files. */
+	/** Lists the names of the entries, which are the names of their settings files without the suffix. */
 	listEntryNames(): string[] {
 		return this.listNames(entryPrefix);
 	}
@@ -78,7 +78,7 @@
 	private readText(name: string): string {
 		const text = this.texts.get(name);
 		if (text === undefined) {
-			throw new Error(`the deployment has no file ${name}`);
+			throw new Error(`the example deployment has no file ${name}`);
 		}
 		return text;
 	}
--- a/src/demo/node/fleet.ts
+++ b/src/demo/node/fleet.ts
@@ -1,6 +1,6 @@
 /**
- * A harness for a fleet of processes on one machine: it starts them, and stops, kills, freezes, resumes
- * and restarts any of them by name. The processes know nothing of it and never start one another.
+ * Starts, stops, kills, freezes, resumes and restarts processes on this machine by name. The processes do not
+ * depend on this harness and never start one another.
  */
 
 import type { IDisposable } from '../../base/common/lifecycle';
@@ -8,16 +8,16 @@
 import type { ProcessEnd, ProcessSpec } from './managedProcess';
 import { ManagedProcess } from './managedProcess';
 
-/** How a process answered to being asked to stop. */
+/** The result of stopping a process. */
 export interface StopReport {
 	readonly name: string;
-	/** Undefined where it had to be killed. */
+	/** Undefined when the process did not exit in time and was killed. */
 	readonly end: ProcessEnd | undefined;
 	readonly tookMs: number;
 }
 
-/** Owns processes; disposing of it kills what is left of them. */
-export class Fleet implements IDisposable {
+/** Owns processes by name. Disposing kills those that are still running. */
+export class ProcessManager implements IDisposable {
 	private readonly processes = new Map<string, ManagedProcess>();
 	private readonly killAll = (): void => {
 		for (const managed of this.processes.values()) {
@@ -34,18 +34,18 @@
 		this.killAll();
 	}
 
-	/** Starts a process under a name that is not in use. */
+	/** Starts a process. Its name must not belong to a running process. */
 	start(spec: ProcessSpec): ManagedProcess {
-		const present = this.processes.get(spec.name);
-		if (present !== undefined && present.getEnd() === undefined) {
-			throw new Error(`${spec.name} is running already`);
+		const existing = this.processes.get(spec.name);
+		if (existing !== undefined && existing.getEnd() === undefined) {
+			throw new Error(`${spec.name} is already running`);
 		}
 		const managed = new ManagedProcess(spec);
 		this.processes.set(spec.name, managed);
 		return managed;
 	}
 
-	/** Kills what runs under the name and starts it anew with the same command line. */
+	/** Kills the process with the name and starts another one with the same command line. */
 	async startAgain(name: string): Promise<ManagedProcess> {
 		const { spec } = this.get(name);
 		await this.kill(name);
@@ -55,7 +55,7 @@
 	get(name: string): ManagedProcess {
 		const managed = this.processes.get(name);
 		if (managed === undefined) {
-			throw new Error(`no process is called ${name}`);
+			throw new Error(`there is no process with the name ${name}`);
 		}
 		return managed;
 	}
@@ -64,43 +64,43 @@
 		return [...this.processes.values()];
 	}
 
-	/** Ends a process without a word to it, as a power cut does. */
+	/** Kills a process without notice, like a power failure. */
 	async kill(name: string): Promise<ProcessEnd> {
 		const managed = this.get(name);
 		managed.send('SIGKILL');
 		return managed.end;
 	}
 
-	/** Holds a process still; its connections stay open and its clock goes on. */
+	/** Suspends a process. Its connections stay open and its clock continues. */
 	freeze(name: string): void {
 		this.get(name).send('SIGSTOP');
 	}
 
-	/** Lets a frozen process go on. */
+	/** Resumes a frozen process. */
 	resume(name: string): void {
 		this.get(name).send('SIGCONT');
 	}
 
-	/** Asks a process to stop, and kills it where it has not ended by itself after `limitMs`. */
-	async stop(name: string, limitMs: number): Promise<StopReport> {
+	/** Sends SIGTERM to a process, and kills the process when it has not exited after `timeoutMs`. */
+	async stop(name: string, timeoutMs: number): Promise<StopReport> {
 		const managed = this.get(name);
 		const startMs = this.timers.getNow();
 		managed.send('SIGTERM');
-		const end = await this.waitForEnd(managed, limitMs);
+		const end = await this.waitForEnd(managed, timeoutMs);
 		if (end === undefined) {
 			await this.kill(name);
 		}
 		return { name, end, tookMs: this.timers.getNow() - startMs };
 	}
 
-	/** Stops several processes at once. */
-	async stopAll(names: readonly string[], limitMs: number): Promise<StopReport[]> {
-		return Promise.all(names.map(name => this.stop(name, limitMs)));
+	/** Stops several processes concurrently. */
+	async stopAll(names: readonly string[], timeoutMs: number): Promise<StopReport[]> {
+		return Promise.all(names.map(name => this.stop(name, timeoutMs)));
 	}
 
-	private async waitForEnd(managed: ManagedProcess, limitMs: number): Promise<ProcessEnd | undefined> {
+	private async waitForEnd(managed: ManagedProcess, timeoutMs: number): Promise<ProcessEnd | undefined> {
 		const limit = new Promise<undefined>(resolve => {
-			this.timers.schedule(limitMs, () => {
+			this.timers.schedule(timeoutMs, () => {
 				resolve(undefined);
 			});
 		});
@@ -108,7 +108,7 @@
 	}
 }
 
-/** Whether a process ended by itself and without a fault. */
+/** Whether a process exited on its own with code 0. */
 export function isCleanEnd(end: ProcessEnd | undefined): boolean {
 	return end?.code === 0;
 }
--- a/src/demo/node/freePorts.ts
+++ b/src/demo/node/freePorts.ts
@@ -1,16 +1,17 @@
 /**
- * Finds free ports for processes that are to be started.
+ * Finds free loopback ports for processes that will be started.
  */
 
 import { createServer } from 'node:net';
 
 /**
- * Below the range from which Linux picks the local ports of outgoing connections (32768 and up by
- * default). A port out of that range may be taken by a connection between the search and the start of its
- * process, or while the process is being restarted; it would then fail to listen now and then.
+ * The ports of the search, without `endPort` itself. They are below the range from which Linux
+ * picks the local ports of outgoing connections (32768 and up by default). A connection could take a port
+ * from that range between the search and the start of a process, or during a restart of the process, which
+ * would then sometimes fail to listen.
  */
-const lowestPort = 18_000;
-const highestPort = 32_000;
+const minPort = 18_000;
+const endPort = 32_000;
 
 function isPortFree(port: number): Promise<boolean> {
 	return new Promise(resolve => {
@@ -26,19 +27,22 @@
 	});
 }
 
-/** Finds `count` free ports on loopback, from a start that differs between processes. */
+/**
+ * Finds `count` free ports on loopback. The start of the search depends on the process id, so that
+ * concurrent processes begin at different ports.
+ */
 export async function findFreePorts(count: number): Promise<number[]> {
-	const span = highestPort - lowestPort;
+	const span = endPort - minPort;
 	const offset = (process.pid * 131) % span;
 	const free: number[] = [];
 	for (let step = 0; step < span && free.length < count; step++) {
-		const port = lowestPort + ((offset + step) % span);
+		const port = minPort + ((offset + step) % span);
 		if (await isPortFree(port)) {
 			free.push(port);
 		}
 	}
 	if (free.length < count) {
-		throw new Error(`only ${free.length} of ${count} ports are free`);
+		throw new Error(`found only ${free.length} of ${count} free ports`);
 	}
 	return free;
 }
--- a/src/demo/node/httpCaller.ts
+++ b/src/demo/node/httpCaller.ts
@@ -1,6 +1,6 @@
 /**
- * A caller of the demo. It keeps apart what a caller must be able to keep apart: a whole answer, a cut one
- * and none.
+ * The HTTP client of the demo. It distinguishes complete answers, incomplete answers and requests without an
+ * answer.
  */
 
 import { Readable } from 'node:stream';
@@ -8,14 +8,14 @@
 import type { Dispatcher } from 'undici';
 import { Agent } from 'undici';
 import type { ITimerService } from '../../base/common/timerService';
-import type { ICaller, CallAnswer, CallQuestion } from '../common/caller';
+import type { ICaller, CallAnswer, CallRequest } from '../common/caller';
 
 const connectionsPerOrigin = 256;
 const answerTimeoutMs = 60_000;
-/** Lets the first half of a body arrive before the connection breaks. */
+/** Time for the first half of a body to arrive before the connection is closed. */
 const uploadPauseMs = 50;
 
-/** Calls over HTTP/1.1 with connections of its own. */
+/** Sends requests over HTTP/1.1 with its own connection pool. */
 export class HttpCaller implements ICaller {
 	private readonly agent = new Agent({
 		connections: connectionsPerOrigin,
@@ -26,30 +26,30 @@
 
 	constructor(private readonly timers: ITimerService) {}
 
-	async send(question: CallQuestion): Promise<CallAnswer> {
+	async send(request: CallRequest): Promise<CallAnswer> {
 		const startMs = this.timers.getNow();
-		const pieces: Buffer[] = [];
+		const chunks: Buffer[] = [];
 		let head: Pick<CallAnswer, 'status' | 'headers'> = { status: 0, headers: {} };
 		let fault = '';
 		try {
-			const answer = await this.dispatch(question);
-			head = { status: answer.statusCode, headers: listHeaders(answer.headers) };
-			for await (const piece of answer.body as AsyncIterable<Buffer>) {
-				pieces.push(piece);
+			const answer = await this.dispatch(request);
+			head = { status: answer.statusCode, headers: toHeaderRecord(answer.headers) };
+			for await (const chunk of answer.body as AsyncIterable<Buffer>) {
+				chunks.push(chunk);
 			}
 		} catch (error) {
 			fault = error instanceof Error ? error.message || error.name : String(error);
 		}
-		return { ...head, body: Buffer.concat(pieces), fault, tookMs: this.timers.getNow() - startMs };
+		return { ...head, body: Buffer.concat(chunks), fault, tookMs: this.timers.getNow() - startMs };
 	}
 
-	async cancelAfter(question: CallQuestion, bytes: number): Promise<number> {
-		const answer = await this.dispatch(question);
+	async cancelAfter(request: CallRequest, minBytes: number): Promise<number> {
+		const answer = await this.dispatch(request);
 		let read = 0;
 		try {
-			for await (const piece of answer.body as AsyncIterable<Buffer>) {
-				read += piece.length;
-				if (read >= bytes) {
+			for await (const chunk of answer.body as AsyncIterable<Buffer>) {
+				read += chunk.length;
+				if (read >= minBytes) {
 					break;
 				}
 			}
@@ -59,11 +59,11 @@
 		return read;
 	}
 
-	async cancelUpload(question: CallQuestion): Promise<void> {
-		const whole = Buffer.from(question.body ?? '');
-		const half = Readable.from(streamAndFail(whole.subarray(0, whole.length / 2)));
+	async cancelUpload(request: CallRequest): Promise<void> {
+		const fullBody = Buffer.from(request.body ?? '');
+		const firstHalf = Readable.from(streamAndFail(fullBody.subarray(0, fullBody.length / 2)));
 		try {
-			await this.dispatch(question, half, { 'content-length': String(whole.length) });
+			await this.dispatch(request, firstHalf, { 'content-length': String(fullBody.length) });
 		} catch {
 			return;
 		}
@@ -74,32 +74,32 @@
 	}
 
 	private dispatch(
-		question: CallQuestion,
-		body: Buffer | Readable | null = toBody(question),
-		moreHeaders: Readonly<Record<string, string>> = {},
+		request: CallRequest,
+		body: Buffer | Readable | null = toBody(request),
+		extraHeaders: Readonly<Record<string, string>> = {},
 	): Promise<Dispatcher.ResponseData> {
-		const { origin, pathname, search } = new URL(question.url);
+		const { origin, pathname, search } = new URL(request.url);
 		return this.agent.request({
 			origin,
 			path: `${pathname}${search}`,
-			method: question.method,
-			headers: { ...question.headers, ...moreHeaders },
+			method: request.method,
+			headers: { ...request.headers, ...extraHeaders },
 			body,
 		});
 	}
 }
 
-function toBody(question: CallQuestion): Buffer | null {
-	return question.body === undefined ? null : Buffer.from(question.body);
+function toBody(request: CallRequest): Buffer | null {
+	return request.body === undefined ? null : Buffer.from(request.body);
 }
 
-async function* streamAndFail(piece: Buffer): AsyncGenerator<Buffer> {
-	yield piece;
+async function* streamAndFail(chunk: Buffer): AsyncGenerator<Buffer> {
+	yield chunk;
 	await waitFor(uploadPauseMs);
-	throw new Error('the caller leaves');
+	throw new Error('the caller aborted the upload');
 }
 
-function listHeaders(raw: Dispatcher.ResponseData['headers']): Record<string, string> {
+function toHeaderRecord(raw: Dispatcher.ResponseData['headers']): Record<string, string> {
 	return Object.fromEntries(
 		Object.entries(raw).flatMap(([name, value]) => (typeof value === 'string' ? [[name, value]] : [])),
 	);
--- a/src/demo/node/managedProcess.ts
+++ b/src/demo/node/managedProcess.ts
@@ -1,5 +1,5 @@
 /**
- * One process of a fleet: it is started, its output is collected, and signals reach it by its id alone.
+ * A child process with collected output. Signals are sent only to its process id, not to a process group.
  */
 
 import type { ChildProcess } from 'node:child_process';
@@ -7,24 +7,24 @@
 import { createInterface } from 'node:readline';
 import type { Readable } from 'node:stream';
 
-/** What to run. */
+/** The program and arguments of a process. */
 export interface ProcessSpec {
-	/** Names the process within its fleet. */
+	/** The unique name of the process within its process manager. */
 	readonly name: string;
-	/** The JavaScript file of the program. */
+	/** Path of the JavaScript file to run. */
 	readonly program: string;
-	readonly commandLine: readonly string[];
+	readonly args: readonly string[];
 }
 
-/** How a process ended: by itself with a code, or by a signal. */
+/** How a process ended: with an exit code or by a signal. Both are null when it could not be started. */
 export interface ProcessEnd {
 	readonly code: number | null;
 	readonly signal: NodeJS.Signals | null;
 }
 
-const mostLinesKept = 20_000;
+const maxKeptLines = 20_000;
 
-/** A process from its start to its end; a restart makes another one. */
+/** One run of a program. A restart creates another instance of this class. */
 export class ManagedProcess {
 	readonly pid: number;
 	readonly end: Promise<ProcessEnd>;
@@ -34,9 +34,9 @@
 	private ended: ProcessEnd | undefined;
 
 	constructor(readonly spec: ProcessSpec) {
-		// A process group of its own: an interrupt typed at the terminal goes to the whole foreground group
-		// and would stop all processes at once, in no order, while the harness still wants to stop them.
-		this.child = spawn(process.execPath, [spec.program, ...spec.commandLine], {
+		// The process gets its own process group. The terminal sends an interrupt (Ctrl+C) to the whole
+		// foreground group, which would stop all processes at once instead of in the order of the harness.
+		this.child = spawn(process.execPath, [spec.program, ...spec.args], {
 			stdio: ['ignore', 'pipe', 'pipe'],
 			detached: true,
 		});
@@ -53,12 +53,12 @@
 		});
 	}
 
-	/** The end of the process, or undefined while it runs. */
+	/** Returns how the process ended, or undefined while it is running. */
 	getEnd(): ProcessEnd | undefined {
 		return this.ended;
 	}
 
-	/** The output so far, both streams, newest last. */
+	/** Lists the collected lines of both output streams, oldest first. */
 	listLines(): readonly string[] {
 		return this.lines;
 	}
@@ -69,7 +69,7 @@
 		}
 	}
 
-	/** The first line that `parse` gives a value for; fails when the process ends without one. */
+	/** Resolves to the first defined result of `parse` over the lines. Fails when the process ends without one. */
 	waitForLine<TValue>(parse: (line: string) => TValue | undefined): Promise<TValue> {
 		let nextIndex = 0;
 		return new Promise((resolve, reject) => {
@@ -84,7 +84,7 @@
 				}
 				if (this.ended !== undefined) {
 					this.watchers.delete(check);
-					reject(new Error(`${this.spec.name} ended early:\n${this.lines.slice(-10).join('\n')}`));
+					reject(new Error(`${this.spec.name} exited early:\n${this.lines.slice(-10).join('\n')}`));
 				}
 			};
 			this.watchers.add(check);
@@ -97,7 +97,7 @@
 			return;
 		}
 		createInterface({ input: stream }).on('line', line => {
-			if (this.lines.length < mostLinesKept) {
+			if (this.lines.length < maxKeptLines) {
 				this.lines.push(line);
 			}
 			this.runWatchers();
--- a/src/demo/test/portMap.test.ts
+++ b/src/demo/test/portMap.test.ts
@@ -1,7 +1,7 @@
 import { applyPortMap, listPorts } from '../common/portMap';
 
 describe('applyPortMap', () => {
-	it('moves every loopback address and nothing else', () => {
+	it('replaces the ports of loopback addresses and nothing else', () => {
 		const text =
 			'listen = 127.0.0.1:7001\nurl = http://127.0.0.1:7001, http://127.0.0.1:70010\nslots = 7001\n';
 		expect(listPorts([text, text])).toEqual([7001, 70010]);
@@ -10,7 +10,7 @@
 		);
 	});
 
-	it('does not move a port twice where two exchange their places', () => {
+	it('replaces each port only once when two ports are swapped', () => {
 		const map = new Map([
 			[7001, 7002],
 			[7002, 7001],
--- a/src/demo/test/scenes.test.ts
+++ b/src/demo/test/scenes.test.ts
@@ -1,17 +1,17 @@
 import { ManualTimerService } from '../../base/common/manualTimerService';
 import { SeededRandom } from '../../base/common/random';
 import { headers } from '../../core/headers/common/headers';
-import type { CallAnswer, CallQuestion, ICaller } from '../common/caller';
+import type { CallAnswer, CallRequest, ICaller } from '../common/caller';
 import type { DeploymentAddresses, EntryAddresses, TargetAddresses } from '../common/deploymentAddresses';
-import { createInference, isWholeStream } from '../common/engineAnswers';
+import { createInferenceBody, isCompleteStream } from '../common/engineAnswers';
 import { organisations, regions, services } from '../common/names';
 import { renderResults } from '../common/report';
-import type { IScene, Stage } from '../common/scene';
-import { createPaymentScenes } from '../common/scenes/paymentScenes';
-import { createPlainScenes } from '../common/scenes/plainScenes';
-import { StandinAdmin } from '../common/standinAdmin';
+import type { IScenario, DeploymentContext } from '../common/scene';
+import { createPaymentScenarios } from '../common/scenes/paymentScenes';
+import { createSuccessScenarios } from '../common/scenes/plainScenes';
+import { StandinAdminClient } from '../common/standinAdmin';
 
-type Reply = (question: CallQuestion) => Partial<CallAnswer>;
+type Reply = (request: CallRequest) => Partial<CallAnswer>;
 
 function createAnswer(body: Uint8Array | string, more: Partial<CallAnswer> = {}): CallAnswer {
 	return {
@@ -43,9 +43,9 @@
 	};
 }
 
-function createStage(reply: Reply): Stage {
+function createContext(reply: Reply): DeploymentContext {
 	const caller: ICaller = {
-		send: question => Promise.resolve({ ...createAnswer(''), ...reply(question) }),
+		send: request => Promise.resolve({ ...createAnswer(''), ...reply(request) }),
 		cancelAfter: () => Promise.resolve(0),
 		cancelUpload: () => Promise.resolve(),
 	};
@@ -70,7 +70,7 @@
 			routes: [],
 		},
 		caller,
-		admin: new StandinAdmin(caller),
+		admin: new StandinAdminClient(caller),
 		timers: new ManualTimerService(),
 		random: new SeededRandom(1),
 		putManifest: () => Promise.resolve(),
@@ -92,37 +92,37 @@
 	};
 }
 
-function findScene(scenes: readonly IScene[], asks: string): IScene {
-	return scenes.find(scene => scene.asks.includes(asks))!;
+function findScenario(scenarios: readonly IScenario[], request: string): IScenario {
+	return scenarios.find(scenario => scenario.request.includes(request))!;
 }
 
-describe('the scenes of the demo', () => {
-	// A payment is sent again by a caller that did not get its answer, and an entry runs it a second time. The
-	// household gets the answer it hopes for and is charged twice; only the bank's own count shows it.
-	it('find a payment that ran twice behind a right answer', async () => {
-		const payOnce = findScene(createPaymentScenes(), 'a payment with a ticket');
-		expect((await payOnce.run(createStage(createBank(1)))).isRight).toBe(true);
-		expect((await payOnce.run(createStage(createBank(2)))).isRight).toBe(false);
+describe('demo scenarios', () => {
+	// A caller that received no answer sends its payment again, and an entry runs it a second time. The answer
+	// is the expected one, but the customer is charged twice. Only the run count of the service shows this.
+	it('fail when a payment ran twice, although the answer is as expected', async () => {
+		const payOnce = findScenario(createPaymentScenarios(), 'a payment with a ticket');
+		expect((await payOnce.run(createContext(createBank(1)))).isRight).toBe(true);
+		expect((await payOnce.run(createContext(createBank(2)))).isRight).toBe(false);
 	});
 
-	// One byte of a large body is lost or changed on its way. Status and outcome are those of a whole answer.
-	it('find a single changed byte in a large body', async () => {
-		const echo = findScene(createPlainScenes(), 'an echo of 1 MiB');
+	// One byte of a large body is lost or changed in transit. Status and outcome are those of a complete answer.
+	it('fail when a single byte of a large body changed', async () => {
+		const echo = findScenario(createSuccessScenarios(), 'an echo of 1 MiB');
 		const sendBack: Reply = ({ body }) => createAnswer(body ?? '');
 		const change: Reply = ({ body }) => {
 			const changed = Buffer.from(body ?? '');
 			changed[700_000] = 255 - (changed[700_000] ?? 0);
 			return createAnswer(changed);
 		};
-		expect((await echo.run(createStage(sendBack))).isRight).toBe(true);
-		expect((await echo.run(createStage(change))).isRight).toBe(false);
+		expect((await echo.run(createContext(sendBack))).isRight).toBe(true);
+		expect((await echo.run(createContext(change))).isRight).toBe(false);
 	});
 
-	it('send the organisation and the class along', async () => {
-		const seen: CallQuestion[] = [];
-		await findScene(createPlainScenes(), 'urgent').run(
-			createStage(question => {
-				seen.push(question);
+	it('send the organisation and the request class', async () => {
+		const seen: CallRequest[] = [];
+		await findScenario(createSuccessScenarios(), 'urgent').run(
+			createContext(request => {
+				seen.push(request);
 				return {};
 			}),
 		);
@@ -130,30 +130,30 @@
 			[headers.organisation]: organisations.montego,
 			[headers.requestClass]: 'urgent',
 		});
-		expect(seen[0]?.body).toBe(createInference('Which gate is open at the bay offices?', 8, false));
+		expect(seen[0]?.body).toBe(createInferenceBody('Which gate is open at the bay offices?', 8, false));
 	});
 });
 
-describe('isWholeStream', () => {
+describe('isCompleteStream', () => {
 	const events = [0, 1].map(token => `data: {"token":${token},"text":" t${token}"}\n\n`);
 
-	// A stream is cut between two events, so every event that arrived is whole. A reader that does not wait
-	// for the end mark would take the piece for the answer.
-	it('takes no piece for the whole', () => {
+	// A stream breaks off between two events, so each received event is complete. Without a check of the end
+	// marker, the incomplete stream would pass as a complete answer.
+	it('rejects incomplete streams', () => {
 		const end = 'data: [DONE]\n\n';
-		expect(isWholeStream(createAnswer(events.join('') + end), 2)).toBe(true);
-		expect(isWholeStream(createAnswer(events.join('')), 2)).toBe(false);
-		expect(isWholeStream(createAnswer((events[0] ?? '') + end), 2)).toBe(false);
-		expect(isWholeStream(createAnswer(events.join('') + end, { fault: 'reset' }), 2)).toBe(false);
+		expect(isCompleteStream(createAnswer(events.join('') + end), 2)).toBe(true);
+		expect(isCompleteStream(createAnswer(events.join('')), 2)).toBe(false);
+		expect(isCompleteStream(createAnswer((events[0] ?? '') + end), 2)).toBe(false);
+		expect(isCompleteStream(createAnswer(events.join('') + end, { fault: 'reset' }), 2)).toBe(false);
 	});
 });
 
 describe('renderResults', () => {
-	it('marks what is wrong and tells what it had to be', () => {
-		const scene = { who: 'a', asks: 'b', expects: 'c' };
-		const results = [true, false].map(isRight => ({ scene, observation: { isRight, received: 'd' } }));
+	it('marks failed scenarios and prints their expected result', () => {
+		const scenario = { caller: 'a', request: 'b', expects: 'c' };
+		const results = [true, false].map(isRight => ({ scenario, observation: { isRight, received: 'd' } }));
 		const renderTable = (_: readonly string[], rows: readonly (readonly string[])[]): string =>
 			rows.map(row => row.join(' ')).join('\n');
-		expect(renderResults(results, renderTable)).toBe('right a b d\nWRONG a b d\nWRONG: a, b: must receive c');
+		expect(renderResults(results, renderTable)).toBe('passed a b d\nFAILED a b d\nFAILED: a, b: expected c');
 	});
 });
--- a/src/prove/common/callSender.ts
+++ b/src/prove/common/callSender.ts
@@ -3,11 +3,11 @@
  * never answers must not hold up the campaign.
  */
 
-import type { CallAnswer, CallQuestion } from '../../demo/common/caller';
+import type { CallAnswer, CallRequest } from '../../demo/common/caller';
 import type { EntryAddresses } from '../../demo/common/deploymentAddresses';
 import { callIdHeader } from '../../demo/common/names';
 import { waitFor } from '../../demo/common/poll';
-import type { ServiceCall, Stage } from '../../demo/common/scene';
+import type { ServiceCall, DeploymentContext } from '../../demo/common/scene';
 import { createServiceCall } from '../../demo/common/scene';
 import { headers } from '../../core/headers/common/headers';
 import type { CampaignLog } from './campaignLog';
@@ -39,7 +39,7 @@
 /** Sends for one phase. */
 export class CallSender {
 	constructor(
-		private readonly stage: Stage,
+		private readonly stage: DeploymentContext,
 		private readonly log: CampaignLog,
 		readonly phase: Phase,
 	) {}
@@ -63,13 +63,13 @@
 		return { answer, record };
 	}
 
-	private async askPatiently(question: CallQuestion, limitMs: number): Promise<CallAnswer> {
+	private async askPatiently(question: CallRequest, limitMs: number): Promise<CallAnswer> {
 		const giveUp = waitFor(this.stage.timers, limitMs).then(() => ({ ...noAnswer, tookMs: limitMs }));
 		return Promise.race([this.stage.caller.send(question), giveUp]);
 	}
 }
 
-function createQuestion({ call, callId, deadlineMs }: CampaignCall, entry: EntryAddresses): CallQuestion {
+function createQuestion({ call, callId, deadlineMs }: CampaignCall, entry: EntryAddresses): CallRequest {
 	return createServiceCall(entry.callers, {
 		...call,
 		headers: { ...call.headers, [callIdHeader]: callId, [headers.deadlineMs]: String(deadlineMs) },
--- a/src/prove/common/callers/campaignCaller.ts
+++ b/src/prove/common/callers/campaignCaller.ts
@@ -5,15 +5,15 @@
 import type { IRandom } from '../../../base/common/random';
 import type { ITimerService } from '../../../base/common/timerService';
 import type { EntryAddresses } from '../../../demo/common/deploymentAddresses';
-import { listEntriesOf } from '../../../demo/common/deploymentAddresses';
+import { listEntriesInRegion } from '../../../demo/common/deploymentAddresses';
 import { waitFor } from '../../../demo/common/poll';
-import type { Stage } from '../../../demo/common/scene';
+import type { DeploymentContext } from '../../../demo/common/scene';
 import type { CallSender } from '../callSender';
 import type { RegionKey } from '../calls';
 
 /** What all callers are given. */
 export interface CallerSurroundings {
-	readonly stage: Stage;
+	readonly stage: DeploymentContext;
 	readonly sender: CallSender;
 	readonly random: IRandom;
 	/** Names this caller; its call ids begin with it. */
@@ -58,5 +58,5 @@
 
 /** An entry of a region, at random. */
 export function pickEntry({ stage, random }: CallerSurroundings, region: string): EntryAddresses {
-	return pickOne(random, listEntriesOf(stage.addresses, region));
+	return pickOne(random, listEntriesInRegion(stage.addresses, region));
 }
--- a/src/prove/common/calls.ts
+++ b/src/prove/common/calls.ts
@@ -5,7 +5,7 @@
 import type { IRandom } from '../../base/common/random';
 import type { CallAnswer } from '../../demo/common/caller';
 import { isSameBody, parseJson } from '../../demo/common/caller';
-import { createInference, isWholeStream } from '../../demo/common/engineAnswers';
+import { createInferenceBody, isCompleteStream } from '../../demo/common/engineAnswers';
 import { organisations, services } from '../../demo/common/names';
 import { RequestClass } from '../../core/requests/common/requestClass';
 import { z } from 'zod';
@@ -91,9 +91,9 @@
 			path: '/drafts',
 			organisation: organisations[home],
 			requestClass: RequestClass.Draft,
-			body: createInference(callId, tokens, true),
+			body: createInferenceBody(callId, tokens, true),
 		},
-		isExpected: answer => answer.status === 200 && isWholeStream(answer, tokens),
+		isExpected: answer => answer.status === 200 && isCompleteStream(answer, tokens),
 	};
 }
 
@@ -103,6 +103,6 @@
 /** A draft that kills each engine that runs it. */
 export function createCrash(callId: string, home: RegionKey): CampaignCall {
 	const draft = createDraft(callId, home, 1);
-	const body = createInference(`${callId} ${crashMark}`, 1, true);
+	const body = createInferenceBody(`${callId} ${crashMark}`, 1, true);
 	return { ...draft, kind: CallKind.Crash, deadlineMs: shortDeadlineMs, call: { ...draft.call, body } };
 }
--- a/src/prove/node/campaignCallers.ts
+++ b/src/prove/node/campaignCallers.ts
@@ -3,7 +3,7 @@
  */
 
 import { SeededRandom } from '../../base/common/random';
-import type { Stage } from '../../demo/common/scene';
+import type { DeploymentContext } from '../../demo/common/scene';
 import type { CallSender } from '../common/callSender';
 import type { CallerSurroundings, ICampaignCaller } from '../common/callers/campaignCaller';
 import { runCaller } from '../common/callers/campaignCaller';
@@ -20,7 +20,7 @@
 	private readonly ends: Promise<void>[] = [];
 
 	constructor(
-		private readonly stage: Stage,
+		private readonly stage: DeploymentContext,
 		private readonly sender: CallSender,
 		private readonly seed: number,
 	) {}
--- a/src/prove/node/faults/linkFaults.ts
+++ b/src/prove/node/faults/linkFaults.ts
@@ -4,7 +4,7 @@
  */
 
 import type { EntryAddresses, LinkAddresses } from '../../../demo/common/deploymentAddresses';
-import { listEntriesOf } from '../../../demo/common/deploymentAddresses';
+import { listEntriesInRegion } from '../../../demo/common/deploymentAddresses';
 import { waitFor, waitUntil } from '../../../demo/common/poll';
 import type { RegionKey } from '../../common/calls';
 import { createCheck, regionKeys } from '../../common/calls';
@@ -53,7 +53,7 @@
 
 	async run(field: Field, place: number): Promise<void> {
 		const region = getAt(regionKeys, place);
-		const entries = listEntriesOf(field.stage.addresses, region);
+		const entries = listEntriesInRegion(field.stage.addresses, region);
 		const cut = getAt(cutManners, field.random.pickBelow(cutManners.length));
 		const killed = getAt(entries, field.random.pickBelow(entries.length));
 		field.log.noteFault(this.kind, `${region}, ${cut}, ${killed.instance} killed inside`);
--- a/src/prove/node/faults/platformFaults.ts
+++ b/src/prove/node/faults/platformFaults.ts
@@ -3,7 +3,7 @@
  * come into force at every reachable entry.
  */
 
-import { listTargetsOf } from '../../../demo/common/deploymentAddresses';
+import { listTargetsInRegion } from '../../../demo/common/deploymentAddresses';
 import { regions, services } from '../../../demo/common/names';
 import { waitFor } from '../../../demo/common/poll';
 import type { Manifest } from '../../../core/manifest/common/manifest';
@@ -80,7 +80,7 @@
 
 	async run(field: Field, place: number): Promise<void> {
 		const { stage, manifests, log } = field;
-		const target = getAt(listTargetsOf(stage.addresses, services.assistant, regions.kingston), place);
+		const target = getAt(listTargetsInRegion(stage.addresses, services.assistant, regions.kingston), place);
 		log.noteFault(this.kind, target.id);
 		await manifests.putAndWait(withLeaving(stage.manifest, [target.id]));
 		await checkNoNewWork(field, target);
--- a/src/prove/node/faults/targetFaults.ts
+++ b/src/prove/node/faults/targetFaults.ts
@@ -4,7 +4,7 @@
  */
 
 import type { TargetAddresses } from '../../../demo/common/deploymentAddresses';
-import { listEntriesOf } from '../../../demo/common/deploymentAddresses';
+import { listEntriesInRegion } from '../../../demo/common/deploymentAddresses';
 import { regions, services } from '../../../demo/common/names';
 import { waitFor, waitUntil } from '../../../demo/common/poll';
 import { createCrash, createDraft, regionKeys } from '../../common/calls';
@@ -111,7 +111,7 @@
 		let number = 0;
 		return waitUntil(stage.timers, firstRefusalWithinMs, async () => {
 			number++;
-			const entry = pickOne(field.random, listEntriesOf(stage.addresses, region));
+			const entry = pickOne(field.random, listEntriesInRegion(stage.addresses, region));
 			await sender.send(createDraft(`leaving-${id}-${number}`, home, leavingDraftTokens), entry);
 			return (await stage.admin.readCounter(admin, id, 'refusedUnrun')) > before;
 		});
@@ -141,7 +141,7 @@
 	async run(field: Field): Promise<void> {
 		const { stage, log, sender } = field;
 		log.noteFault(this.kind, regions.kingston);
-		const entries = listEntriesOf(stage.addresses, regions.kingston);
+		const entries = listEntriesInRegion(stage.addresses, regions.kingston);
 		const before = await countDeaths(field);
 		for (let send = 0; send < crashSends; send++) {
 			await sender.send(createCrash('crashing', 'kingston'), getAt(entries, send));
--- a/src/prove/node/field.ts
+++ b/src/prove/node/field.ts
@@ -4,8 +4,8 @@
 
 import type { IRandom } from '../../base/common/random';
 import type { Deployment } from '../../demo/node/deployment';
-import type { Fleet } from '../../demo/node/fleet';
-import type { Stage } from '../../demo/common/scene';
+import type { ProcessManager } from '../../demo/node/fleet';
+import type { DeploymentContext } from '../../demo/common/scene';
 import type { CallSender } from '../common/callSender';
 import type { CampaignLog } from '../common/campaignLog';
 import type { Disturbances } from '../common/disturbances';
@@ -14,8 +14,8 @@
 
 /** The running deployment with everything that watches it. */
 export interface Field {
-	readonly stage: Stage;
-	readonly fleet: Fleet;
+	readonly stage: DeploymentContext;
+	readonly fleet: ProcessManager;
 	readonly deployment: Deployment;
 	readonly log: CampaignLog;
 	readonly disturbances: Disturbances;
--- a/src/prove/node/manifestWatch.ts
+++ b/src/prove/node/manifestWatch.ts
@@ -8,7 +8,7 @@
 import { parseJson } from '../../demo/common/caller';
 import type { EntryAddresses } from '../../demo/common/deploymentAddresses';
 import { waitFor, waitUntil } from '../../demo/common/poll';
-import type { Stage } from '../../demo/common/scene';
+import type { DeploymentContext } from '../../demo/common/scene';
 import type { Manifest } from '../../core/manifest/common/manifest';
 import { entryStatusSchema } from '../../core/status/common/entryStatus';
 import type { CampaignLog } from '../common/campaignLog';
@@ -36,7 +36,7 @@
 	private isOver = false;
 
 	constructor(
-		private readonly stage: Stage,
+		private readonly stage: DeploymentContext,
 		private readonly log: CampaignLog,
 		private readonly disturbances: Disturbances,
 	) {
--- a/src/prove/node/proveProgram.ts
+++ b/src/prove/node/proveProgram.ts
@@ -6,11 +6,11 @@
 import { Disposable } from '../../base/common/lifecycle';
 import { SeededRandom } from '../../base/common/random';
 import { SystemTimerService } from '../../base/node/systemTimerService';
-import type { Stage } from '../../demo/common/scene';
-import { StandinAdmin } from '../../demo/common/standinAdmin';
+import type { DeploymentContext } from '../../demo/common/scene';
+import { StandinAdminClient } from '../../demo/common/standinAdmin';
 import { Deployment } from '../../demo/node/deployment';
 import { DeploymentFiles } from '../../demo/node/deploymentFiles';
-import { Fleet, isCleanEnd } from '../../demo/node/fleet';
+import { ProcessManager, isCleanEnd } from '../../demo/node/fleet';
 import { HttpCaller } from '../../demo/node/httpCaller';
 import { CallSender } from '../common/callSender';
 import { CampaignLog } from '../common/campaignLog';
@@ -34,7 +34,7 @@
 /** One run of the program. */
 export class ProveProgram extends Disposable {
 	private readonly timers = this.register(new SystemTimerService());
-	private readonly fleet = this.register(new Fleet(this.timers));
+	private readonly fleet = this.register(new ProcessManager(this.timers));
 	private readonly caller = new HttpCaller(this.timers);
 	private readonly log: CampaignLog;
 
@@ -54,7 +54,7 @@
 	async run(): Promise<CampaignResult> {
 		const example = this.register(new PreparedExample(this.places.exampleFolder));
 		const files = this.register(await DeploymentFiles.open(example.folder));
-		const admin = new StandinAdmin(this.caller);
+		const admin = new StandinAdminClient(this.caller);
 		const { binFolder } = this.places;
 		const deployment = new Deployment(files, this.fleet, admin, this.caller, this.timers, binFolder);
 		const field = await this.open(deployment, admin);
@@ -69,12 +69,12 @@
 		return new Map(this.fleet.list().map(managed => [managed.spec.name, managed.listLines()]));
 	}
 
-	private async open(deployment: Deployment, admin: StandinAdmin): Promise<Field> {
+	private async open(deployment: Deployment, admin: StandinAdminClient): Promise<Field> {
 		const addresses = await deployment.open();
 		const random = new SeededRandom(this.plan.seed);
 		const { timers, fleet, log, caller } = this;
 		const { manifest } = deployment;
-		const stage: Stage = {
+		const stage: DeploymentContext = {
 			addresses,
 			manifest,
 			caller,
--- a/src/prove/node/replacement.ts
+++ b/src/prove/node/replacement.ts
@@ -4,7 +4,7 @@
  */
 
 import { SeededRandom } from '../../base/common/random';
-import { listEntriesOf, listTargetsOf } from '../../demo/common/deploymentAddresses';
+import { listEntriesInRegion, listTargetsInRegion } from '../../demo/common/deploymentAddresses';
 import { regions, services } from '../../demo/common/names';
 import { CallSender } from '../common/callSender';
 import { Follower } from '../common/callers/follower';
@@ -39,7 +39,7 @@
 
 /** Without engines of its own, a region's drafts are relayed by entries of two regions. */
 async function drainEngines({ stage, manifests }: Field): Promise<void> {
-	const drained = listTargetsOf(stage.addresses, services.assistant, drainedRegion).map(({ id }) => id);
+	const drained = listTargetsInRegion(stage.addresses, services.assistant, drainedRegion).map(({ id }) => id);
 	await manifests.putAndWait(withLeaving(stage.manifest, drained));
 }
 
@@ -49,7 +49,7 @@
 	random: SeededRandom,
 	isShort: boolean,
 ): Promise<void> {
-	const entries = listEntriesOf(field.stage.addresses, region);
+	const entries = listEntriesInRegion(field.stage.addresses, region);
 	const first = random.pickBelow(entries.length);
 	const chosen = isShort ? entries.slice(first, first + 1) : entries;
 	for (const entry of chosen) {
--- a/src/prove/node/runReader.ts
+++ b/src/prove/node/runReader.ts
@@ -4,7 +4,7 @@
 
 import { z } from 'zod';
 import { parseJson } from '../../demo/common/caller';
-import type { Stage } from '../../demo/common/scene';
+import type { DeploymentContext } from '../../demo/common/scene';
 import type { RunRecord } from '../common/invariants';
 
 const runsSchema = z.object({
@@ -17,7 +17,7 @@
 });
 
 /** Every run of every plain service. */
-export async function readRuns(stage: Stage): Promise<RunRecord[]> {
+export async function readRuns(stage: DeploymentContext): Promise<RunRecord[]> {
 	const regionsByTarget = new Map(stage.addresses.targets.map(({ id, region }) => [id, region]));
 	const answers = await Promise.all(
 		stage.addresses.standins.map(({ admin }) =>
