--- a/src/demo/common/lookup.ts
+++ b/src/demo/common/lookup.ts
@@ -4,7 +4,7 @@
 
 import { z } from 'zod';
 import { parseJson } from './caller';
-import type { DeploymentContext } from './scene';
+import type { DeploymentContext } from './scenario';
 
 const advertisedEntriesSchema = z.array(
 	z.object({ instance: z.string(), region: z.string(), zone: z.string(), url: z.string() }),
--- a/src/demo/common/report.ts
+++ b/src/demo/common/report.ts
@@ -2,7 +2,7 @@
  * Formats the results of the scenarios as a table.
  */
 
-import type { IScenario, Observation } from './scene';
+import type { IScenario, Observation } from './scenario';
 
 /** A scenario and its result. */
 export interface ScenarioResult {
--- a/src/demo/common/scene.ts
+++ b/src/demo/common/scenario.ts
@@ -11,7 +11,7 @@
 import type { CallRequest, ICaller } from './caller';
 import type { DeploymentAddresses, EntryAddresses } from './deploymentAddresses';
 import { listEntriesInRegion } from './deploymentAddresses';
-import type { StandinAdminClient } from './standinAdmin';
+import type { StandinAdminClient } from './standinAdminClient';
 
 /** A running deployment and the clients that scenarios use to act on it. */
 export interface DeploymentContext {
--- a/src/demo/common/scenes/awayScenes.ts
+++ b/src/demo/common/scenarios/drainScenarios.ts
@@ -8,11 +8,11 @@
 import { describeAnswer, getOutcome, isSameBody } from '../caller';
 import { listTargetsInRegion } from '../deploymentAddresses';
 import { countTokens, createInferenceBody, isCompleteStream } from '../engineAnswers';
-import { organisations, regions, services } from '../names';
+import { organisations, regions, services } from '../exampleNames';
 import { waitUntil } from '../poll';
-import type { IScenario, Observation, DeploymentContext } from '../scene';
-import { createServiceCall, getEntry } from '../scene';
-import { createRandomBytes, largeBodyBytes } from './plainScenes';
+import type { IScenario, Observation, DeploymentContext } from '../scenario';
+import { createServiceCall, getEntry } from '../scenario';
+import { createRandomBytes, largeBodyBytes } from './successScenarios';
 
 const drainTimeoutMs = 9_000;
 const streamTokens = 60;
--- a/src/demo/common/scenes/busyScenes.ts
+++ b/src/demo/common/scenarios/overloadScenarios.ts
@@ -9,10 +9,10 @@
 import { getErrorKind, getOutcome } from '../caller';
 import { listTargetsInRegion } from '../deploymentAddresses';
 import { createInferenceBody, isCompleteAnswer } from '../engineAnswers';
-import { organisations, regions, services } from '../names';
+import { organisations, regions, services } from '../exampleNames';
 import { waitUntil } from '../poll';
-import type { IScenario, Observation, DeploymentContext } from '../scene';
-import { createServiceCall, getEntry } from '../scene';
+import type { IScenario, Observation, DeploymentContext } from '../scenario';
+import { createServiceCall, getEntry } from '../scenario';
 
 const longDraftTokens = 2_000;
 const bytesBeforeDisconnect = 200;
--- a/src/demo/common/scenes/paymentScenes.ts
+++ b/src/demo/common/scenarios/paymentScenarios.ts
@@ -7,9 +7,9 @@
 import { describeAnswer, getErrorKind, getOutcome, isSameBody } from '../caller';
 import { listTargetsInRegion } from '../deploymentAddresses';
 import { fetchLookup } from '../lookup';
-import { callIdHeader, organisations, regions, services } from '../names';
-import type { IScenario, Observation, DeploymentContext } from '../scene';
-import { createServiceCall, getEntry } from '../scene';
+import { callIdHeader, organisations, regions, services } from '../exampleNames';
+import type { IScenario, Observation, DeploymentContext } from '../scenario';
+import { createServiceCall, getEntry } from '../scenario';
 
 /** State shared by the scenarios that repeat one payment. */
 interface Payment {
--- a/src/demo/common/scenes/refusedScenes.ts
+++ b/src/demo/common/scenarios/refusalScenarios.ts
@@ -6,9 +6,9 @@
 import { headers } from '../../../core/headers/common/headers';
 import { describeAnswer, getErrorKind, getOutcome, parseJson } from '../caller';
 import { parseAdvertisedEntries } from '../lookup';
-import { organisations, regions, services } from '../names';
-import type { IScenario, Observation, ServiceCall, DeploymentContext } from '../scene';
-import { createServiceCall, getEntry } from '../scene';
+import { organisations, regions, services } from '../exampleNames';
+import type { IScenario, Observation, ServiceCall, DeploymentContext } from '../scenario';
+import { createServiceCall, getEntry } from '../scenario';
 
 /** A request that must be refused with one status and error kind. */
 class RefusalScenario implements IScenario {
--- a/src/demo/common/scenes/plainScenes.ts
+++ b/src/demo/common/scenarios/successScenarios.ts
@@ -7,9 +7,9 @@
 import { listTargetsInRegion } from '../deploymentAddresses';
 import { countTokens, createInferenceBody, isCompleteAnswer, isCompleteStream } from '../engineAnswers';
 import { fetchLookup } from '../lookup';
-import { organisations, regions, services } from '../names';
-import type { IScenario, Observation, DeploymentContext } from '../scene';
-import { createServiceCall, getEntry } from '../scene';
+import { organisations, regions, services } from '../exampleNames';
+import type { IScenario, Observation, DeploymentContext } from '../scenario';
+import { createServiceCall, getEntry } from '../scenario';
 
 const answerTokens = 8;
 const draftTokens = 120;
--- a/src/demo/node/demoProgram.ts
+++ b/src/demo/node/demoProgram.ts
@@ -8,17 +8,17 @@
 import { SystemTimerService } from '../../base/node/systemTimerService';
 import type { ScenarioResult, TableRenderer } from '../common/report';
 import { renderResults } from '../common/report';
-import type { IScenario, DeploymentContext } from '../common/scene';
-import { createDrainScenarios } from '../common/scenes/awayScenes';
-import { createOverloadScenarios } from '../common/scenes/busyScenes';
-import { createPaymentScenarios } from '../common/scenes/paymentScenes';
-import { createSuccessScenarios } from '../common/scenes/plainScenes';
-import { createRefusalScenarios } from '../common/scenes/refusedScenes';
-import { StandinAdminClient } from '../common/standinAdmin';
+import type { IScenario, DeploymentContext } from '../common/scenario';
+import { createDrainScenarios } from '../common/scenarios/drainScenarios';
+import { createOverloadScenarios } from '../common/scenarios/overloadScenarios';
+import { createPaymentScenarios } from '../common/scenarios/paymentScenarios';
+import { createSuccessScenarios } from '../common/scenarios/successScenarios';
+import { createRefusalScenarios } from '../common/scenarios/refusalScenarios';
+import { StandinAdminClient } from '../common/standinAdminClient';
 import { Deployment } from './deployment';
 import { DeploymentFiles } from './deploymentFiles';
-import type { StopReport } from './fleet';
-import { ProcessManager, isCleanEnd } from './fleet';
+import type { StopReport } from './processManager';
+import { ProcessManager, isCleanEnd } from './processManager';
 import { HttpCaller } from './httpCaller';
 
 /** Folders that the demo reads. */
--- a/src/demo/node/deployment.ts
+++ b/src/demo/node/deployment.ts
@@ -10,9 +10,9 @@
 import type { ICaller } from '../common/caller';
 import type { DeploymentAddresses, EntryAddresses, LinkAddresses } from '../common/deploymentAddresses';
 import type { DeploymentFiles } from './deploymentFiles';
-import type { ProcessManager, StopReport } from './fleet';
+import type { ProcessManager, StopReport } from './processManager';
 import { waitUntil } from '../common/poll';
-import type { StandinAdminClient } from '../common/standinAdmin';
+import type { StandinAdminClient } from '../common/standinAdminClient';
 
 const readyLineSchema = z.object({
 	ready: z.literal(true),
--- a/src/demo/test/fleet.test.ts
+++ b/src/demo/test/processManager.test.ts
@@ -2,7 +2,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { SystemTimerService } from '../../base/node/systemTimerService';
-import { ProcessManager, isCleanEnd } from '../node/fleet';
+import { ProcessManager, isCleanEnd } from '../node/processManager';
 
 const timeoutMs = 10_000;
 
--- a/src/demo/test/scenes.test.ts
+++ b/src/demo/test/scenarios.test.ts
@@ -4,12 +4,12 @@
 import type { CallAnswer, CallRequest, ICaller } from '../common/caller';
 import type { DeploymentAddresses, EntryAddresses, TargetAddresses } from '../common/deploymentAddresses';
 import { createInferenceBody, isCompleteStream } from '../common/engineAnswers';
-import { organisations, regions, services } from '../common/names';
+import { organisations, regions, services } from '../common/exampleNames';
 import { renderResults } from '../common/report';
-import type { IScenario, DeploymentContext } from '../common/scene';
-import { createPaymentScenarios } from '../common/scenes/paymentScenes';
-import { createSuccessScenarios } from '../common/scenes/plainScenes';
-import { StandinAdminClient } from '../common/standinAdmin';
+import type { IScenario, DeploymentContext } from '../common/scenario';
+import { createPaymentScenarios } from '../common/scenarios/paymentScenarios';
+import { createSuccessScenarios } from '../common/scenarios/successScenarios';
+import { StandinAdminClient } from '../common/standinAdminClient';
 
 type Reply = (request: CallRequest) => Partial<CallAnswer>;
 
--- a/src/prove/common/callSender.ts
+++ b/src/prove/common/callSender.ts
@@ -5,10 +5,10 @@
 
 import type { CallAnswer, CallRequest } from '../../demo/common/caller';
 import type { EntryAddresses } from '../../demo/common/deploymentAddresses';
-import { callIdHeader } from '../../demo/common/names';
+import { callIdHeader } from '../../demo/common/exampleNames';
 import { waitFor } from '../../demo/common/poll';
-import type { ServiceCall, DeploymentContext } from '../../demo/common/scene';
-import { createServiceCall } from '../../demo/common/scene';
+import type { ServiceCall, DeploymentContext } from '../../demo/common/scenario';
+import { createServiceCall } from '../../demo/common/scenario';
 import { headers } from '../../core/headers/common/headers';
 import type { CampaignLog } from './campaignLog';
 import type { CallKind, Phase, SendRecord } from './sendRecord';
--- a/src/prove/common/callers/campaignCaller.ts
+++ b/src/prove/common/callers/campaignCaller.ts
@@ -7,7 +7,7 @@
 import type { EntryAddresses } from '../../../demo/common/deploymentAddresses';
 import { listEntriesInRegion } from '../../../demo/common/deploymentAddresses';
 import { waitFor } from '../../../demo/common/poll';
-import type { DeploymentContext } from '../../../demo/common/scene';
+import type { DeploymentContext } from '../../../demo/common/scenario';
 import type { CallSender } from '../callSender';
 import type { RegionKey } from '../calls';
 
--- a/src/prove/common/callers/follower.ts
+++ b/src/prove/common/callers/follower.ts
@@ -7,7 +7,7 @@
 import type { CallAnswer } from '../../../demo/common/caller';
 import { parseJson } from '../../../demo/common/caller';
 import type { EntryAddresses } from '../../../demo/common/deploymentAddresses';
-import { organisations, services } from '../../../demo/common/names';
+import { organisations, services } from '../../../demo/common/exampleNames';
 import { waitFor } from '../../../demo/common/poll';
 import type { CampaignLog } from '../campaignLog';
 import { createCheck } from '../calls';
--- a/src/prove/common/callers/payer.ts
+++ b/src/prove/common/callers/payer.ts
@@ -8,7 +8,7 @@
 import type { CallAnswer } from '../../../demo/common/caller';
 import { parseJson } from '../../../demo/common/caller';
 import type { EntryAddresses } from '../../../demo/common/deploymentAddresses';
-import { organisations, services } from '../../../demo/common/names';
+import { organisations, services } from '../../../demo/common/exampleNames';
 import { createPayment } from '../calls';
 import { Phase } from '../sendRecord';
 import type { CallerSurroundings, ICampaignCaller } from './campaignCaller';
--- a/src/prove/common/calls.ts
+++ b/src/prove/common/calls.ts
@@ -6,7 +6,7 @@
 import type { CallAnswer } from '../../demo/common/caller';
 import { isSameBody, parseJson } from '../../demo/common/caller';
 import { createInferenceBody, isCompleteStream } from '../../demo/common/engineAnswers';
-import { organisations, services } from '../../demo/common/names';
+import { organisations, services } from '../../demo/common/exampleNames';
 import { RequestClass } from '../../core/requests/common/requestClass';
 import { z } from 'zod';
 import type { CampaignCall } from './callSender';
--- a/src/prove/node/campaignCallers.ts
+++ b/src/prove/node/campaignCallers.ts
@@ -3,7 +3,7 @@
  */
 
 import { SeededRandom } from '../../base/common/random';
-import type { DeploymentContext } from '../../demo/common/scene';
+import type { DeploymentContext } from '../../demo/common/scenario';
 import type { CallSender } from '../common/callSender';
 import type { CallerSurroundings, ICampaignCaller } from '../common/callers/campaignCaller';
 import { runCaller } from '../common/callers/campaignCaller';
--- a/src/prove/node/faults/entryFaults.ts
+++ b/src/prove/node/faults/entryFaults.ts
@@ -4,7 +4,7 @@
 
 import type { EntryAddresses } from '../../../demo/common/deploymentAddresses';
 import { waitFor } from '../../../demo/common/poll';
-import { isCleanEnd } from '../../../demo/node/fleet';
+import { isCleanEnd } from '../../../demo/node/processManager';
 import { ticketLifeMs } from '../../common/callers/payer';
 import { FaultKind } from '../../common/faultSchedule';
 import { Invariant } from '../../common/invariants';
--- a/src/prove/node/faults/platformFaults.ts
+++ b/src/prove/node/faults/platformFaults.ts
@@ -4,7 +4,7 @@
  */
 
 import { listTargetsInRegion } from '../../../demo/common/deploymentAddresses';
-import { regions, services } from '../../../demo/common/names';
+import { regions, services } from '../../../demo/common/exampleNames';
 import { waitFor } from '../../../demo/common/poll';
 import type { Manifest } from '../../../core/manifest/common/manifest';
 import { TargetIntent } from '../../../core/manifest/common/manifest';
--- a/src/prove/node/faults/targetFaults.ts
+++ b/src/prove/node/faults/targetFaults.ts
@@ -5,7 +5,7 @@
 
 import type { TargetAddresses } from '../../../demo/common/deploymentAddresses';
 import { listEntriesInRegion } from '../../../demo/common/deploymentAddresses';
-import { regions, services } from '../../../demo/common/names';
+import { regions, services } from '../../../demo/common/exampleNames';
 import { waitFor, waitUntil } from '../../../demo/common/poll';
 import { createCrash, createDraft, regionKeys } from '../../common/calls';
 import { pickOne } from '../../common/callers/campaignCaller';
--- a/src/prove/node/field.ts
+++ b/src/prove/node/field.ts
@@ -4,8 +4,8 @@
 
 import type { IRandom } from '../../base/common/random';
 import type { Deployment } from '../../demo/node/deployment';
-import type { ProcessManager } from '../../demo/node/fleet';
-import type { DeploymentContext } from '../../demo/common/scene';
+import type { ProcessManager } from '../../demo/node/processManager';
+import type { DeploymentContext } from '../../demo/common/scenario';
 import type { CallSender } from '../common/callSender';
 import type { CampaignLog } from '../common/campaignLog';
 import type { Disturbances } from '../common/disturbances';
--- a/src/prove/node/manifestWatch.ts
+++ b/src/prove/node/manifestWatch.ts
@@ -8,7 +8,7 @@
 import { parseJson } from '../../demo/common/caller';
 import type { EntryAddresses } from '../../demo/common/deploymentAddresses';
 import { waitFor, waitUntil } from '../../demo/common/poll';
-import type { DeploymentContext } from '../../demo/common/scene';
+import type { DeploymentContext } from '../../demo/common/scenario';
 import type { Manifest } from '../../core/manifest/common/manifest';
 import { entryStatusSchema } from '../../core/status/common/entryStatus';
 import type { CampaignLog } from '../common/campaignLog';
--- a/src/prove/node/proveProgram.ts
+++ b/src/prove/node/proveProgram.ts
@@ -6,11 +6,11 @@
 import { Disposable } from '../../base/common/lifecycle';
 import { SeededRandom } from '../../base/common/random';
 import { SystemTimerService } from '../../base/node/systemTimerService';
-import type { DeploymentContext } from '../../demo/common/scene';
-import { StandinAdminClient } from '../../demo/common/standinAdmin';
+import type { DeploymentContext } from '../../demo/common/scenario';
+import { StandinAdminClient } from '../../demo/common/standinAdminClient';
 import { Deployment } from '../../demo/node/deployment';
 import { DeploymentFiles } from '../../demo/node/deploymentFiles';
-import { ProcessManager, isCleanEnd } from '../../demo/node/fleet';
+import { ProcessManager, isCleanEnd } from '../../demo/node/processManager';
 import { HttpCaller } from '../../demo/node/httpCaller';
 import { CallSender } from '../common/callSender';
 import { CampaignLog } from '../common/campaignLog';
--- a/src/prove/node/replacement.ts
+++ b/src/prove/node/replacement.ts
@@ -5,7 +5,7 @@
 
 import { SeededRandom } from '../../base/common/random';
 import { listEntriesInRegion, listTargetsInRegion } from '../../demo/common/deploymentAddresses';
-import { regions, services } from '../../demo/common/names';
+import { regions, services } from '../../demo/common/exampleNames';
 import { CallSender } from '../common/callSender';
 import { Follower } from '../common/callers/follower';
 import { regionKeys } from '../common/calls';
--- a/src/prove/node/runReader.ts
+++ b/src/prove/node/runReader.ts
@@ -4,7 +4,7 @@
 
 import { z } from 'zod';
 import { parseJson } from '../../demo/common/caller';
-import type { DeploymentContext } from '../../demo/common/scene';
+import type { DeploymentContext } from '../../demo/common/scenario';
 import type { RunRecord } from '../common/invariants';
 
 const runsSchema = z.object({
