--- a/src/prove/common/callSender.ts
+++ b/src/prove/common/callSender.ts
@@ -1,6 +1,6 @@
 /**
- * Sends the calls of a campaign and records each. A caller gives up in the end, as people do: an entry that
- * never answers must not hold up the campaign.
+ * Sends the calls of a campaign and records each of them. A call times out some time after its deadline, so
+ * that an entry that never answers does not block the campaign.
  */
 
 import type { CallAnswer, CallQuestion } from '../../demo/common/caller';
@@ -12,31 +12,31 @@
 import { headers } from '../../core/headers/common/headers';
 import type { CampaignLog } from './campaignLog';
 import type { CallKind, Phase, SendRecord } from './sendRecord';
-import { createSendRecord, gaveUp } from './sendRecord';
+import { callerGaveUpFault, createSendRecord } from './sendRecord';
 
-/** A call, apart from the entry that it is sent to. */
+/** A call without the entry that it is sent to: a call may be sent several times, to different entries. */
 export interface CampaignCall {
 	readonly callId: string;
 	readonly kind: CallKind;
 	readonly home: string | undefined;
 	readonly deadlineMs: number;
 	readonly call: ServiceCall;
-	/** Whether a whole answer is the right one. */
+	/** Whether a complete answer has the content that this call must get. */
 	isExpected(answer: CallAnswer): boolean;
 }
 
-/** A recorded send with the answer itself. */
+/** The answer to one send and the record of that send. */
 export interface AnsweredSend {
 	readonly answer: CallAnswer;
 	readonly record: SendRecord;
 }
 
-/** How much longer than its deadline a caller waits, in milliseconds. */
-const patienceMs = 10_000;
+/** How long after its deadline a call without an answer times out, in milliseconds. */
+const callerTimeoutMarginMs = 10_000;
 
-const noAnswer = { status: 0, headers: {}, body: new Uint8Array(), fault: gaveUp };
+const timedOutAnswer = { status: 0, headers: {}, body: new Uint8Array(), fault: callerGaveUpFault };
 
-/** Sends for one phase. */
+/** Sends and records the calls of one phase. */
 export class CallSender {
 	constructor(
 		private readonly stage: Stage,
@@ -44,10 +44,13 @@
 		readonly phase: Phase,
 	) {}
 
-	/** Sends a call to an entry; gives what came back, and its record. */
+	/** Sends a call to an entry and adds the record of the send to the log. */
 	async send(call: CampaignCall, entry: EntryAddresses): Promise<AnsweredSend> {
 		const startMs = this.stage.timers.getNow();
-		const answer = await this.askPatiently(createQuestion(call, entry), call.deadlineMs + patienceMs);
+		const answer = await this.sendWithTimeout(
+			createRequest(call, entry),
+			call.deadlineMs + callerTimeoutMarginMs,
+		);
 		const { callId, kind, home } = call;
 		const planned = {
 			callId,
@@ -63,13 +66,16 @@
 		return { answer, record };
 	}
 
-	private async askPatiently(question: CallQuestion, limitMs: number): Promise<CallAnswer> {
-		const giveUp = waitFor(this.stage.timers, limitMs).then(() => ({ ...noAnswer, tookMs: limitMs }));
-		return Promise.race([this.stage.caller.send(question), giveUp]);
+	private async sendWithTimeout(request: CallQuestion, timeoutMs: number): Promise<CallAnswer> {
+		const timeout = waitFor(this.stage.timers, timeoutMs).then(() => ({
+			...timedOutAnswer,
+			tookMs: timeoutMs,
+		}));
+		return Promise.race([this.stage.caller.send(request), timeout]);
 	}
 }
 
-function createQuestion({ call, callId, deadlineMs }: CampaignCall, entry: EntryAddresses): CallQuestion {
+function createRequest({ call, callId, deadlineMs }: CampaignCall, entry: EntryAddresses): CallQuestion {
 	return createServiceCall(entry.callers, {
 		...call,
 		headers: { ...call.headers, [callIdHeader]: callId, [headers.deadlineMs]: String(deadlineMs) },
--- a/src/prove/common/callers/campaignCaller.ts
+++ b/src/prove/common/callers/campaignCaller.ts
@@ -1,5 +1,6 @@
 /**
- * A caller of a campaign: it calls again and again until it is told to stop, and ends with its last call.
+ * The loop of a campaign's callers: each makes one call after the other until it is stopped, and ends when
+ * its last call has ended.
  */
 
 import type { IRandom } from '../../../base/common/random';
@@ -11,52 +12,52 @@
 import type { CallSender } from '../callSender';
 import type { RegionKey } from '../calls';
 
-/** What all callers are given. */
-export interface CallerSurroundings {
+/** What every caller needs to make its calls. */
+export interface CallerContext {
 	readonly stage: Stage;
 	readonly sender: CallSender;
 	readonly random: IRandom;
-	/** Names this caller; its call ids begin with it. */
+	/** Name of the caller, which its call ids begin with. */
 	readonly name: string;
 	readonly home: RegionKey;
 }
 
-/** Makes calls, one after the other. */
+/** A kind of caller. */
 export interface ICampaignCaller {
-	/** One call with all its resends. */
+	/** Makes one call, with all its resends. */
 	runCall(callId: string): Promise<void>;
 }
 
-const shortestPauseMs = 20;
+const minPauseMs = 20;
 const pauseRangeMs = 60;
 
-/** Runs calls until `isStopped`. */
+/** Runs calls, with a short random pause after each, until `isStopped` returns true. */
 export async function runCaller(
 	caller: ICampaignCaller,
-	surroundings: CallerSurroundings,
+	callerContext: CallerContext,
 	isStopped: () => boolean,
 ): Promise<void> {
-	const { name, random, stage } = surroundings;
+	const { name, random, stage } = callerContext;
 	for (let number = 1; !isStopped(); number++) {
 		await caller.runCall(`${name}-${number}`);
-		await waitShortly(stage.timers, random);
+		await waitForRandomPause(stage.timers, random);
 	}
 }
 
-async function waitShortly(timers: ITimerService, random: IRandom): Promise<void> {
-	await waitFor(timers, shortestPauseMs + random.pickBelow(pauseRangeMs));
+async function waitForRandomPause(timers: ITimerService, random: IRandom): Promise<void> {
+	await waitFor(timers, minPauseMs + random.pickBelow(pauseRangeMs));
 }
 
-/** One of the items, at random; there must be one. */
-export function pickOne<TItem>(random: IRandom, items: readonly TItem[]): TItem {
+/** Picks one of the items at random. Throws if there is none. */
+export function pickRandom<TItem>(random: IRandom, items: readonly TItem[]): TItem {
 	const item = items[random.pickBelow(items.length)];
 	if (item === undefined) {
-		throw new Error('there is nothing to pick from');
+		throw new Error('cannot pick from an empty list');
 	}
 	return item;
 }
 
-/** An entry of a region, at random. */
-export function pickEntry({ stage, random }: CallerSurroundings, region: string): EntryAddresses {
-	return pickOne(random, listEntriesOf(stage.addresses, region));
+/** Picks an entry of a region at random. */
+export function pickRandomEntry({ stage, random }: CallerContext, region: string): EntryAddresses {
+	return pickRandom(random, listEntriesOf(stage.addresses, region));
 }
--- a/src/prove/common/callers/follower.ts
+++ b/src/prove/common/callers/follower.ts
@@ -1,6 +1,7 @@
 /**
- * A caller who does as told: it looks up which entries to use, asks again when the lookup is no longer
- * valid, goes on to the next entry where one refuses or is gone, and comes back when told to.
+ * A caller that follows the lookup protocol: it looks up which entries to use, repeats the lookup when the
+ * result has expired or a call has failed, retries at the next entry when one refuses the call or the
+ * connection, and waits as long as a refusal demands.
  */
 
 import { z } from 'zod';
@@ -13,9 +14,9 @@
 import { createCheck } from '../calls';
 import { Invariant } from '../invariants';
 import type { SendRecord } from '../sendRecord';
-import { Told } from '../sendRecord';
-import type { CallerSurroundings, ICampaignCaller } from './campaignCaller';
-import { pickEntry } from './campaignCaller';
+import { SendOutcome } from '../sendRecord';
+import type { CallerContext, ICampaignCaller } from './campaignCaller';
+import { pickRandomEntry } from './campaignCaller';
 
 const lookupSchema = z.object({
 	validForMs: z.number(),
@@ -23,71 +24,73 @@
 });
 const refusalSchema = z.object({ retryAfterMs: z.number() });
 
-const mostTries = 6;
-/** Where a refusal names no time. */
-const usualPauseMs = 100;
+const maxAttempts = 6;
+/** Pause before a retry if the refusal gives none. */
+const defaultRetryAfterMs = 100;
 
-/** Makes calls that must not fail, whichever entries come and go. */
-export class Follower implements ICampaignCaller {
+/** Makes calls that must be answered even while entries are stopped and started. */
+export class LookupCaller implements ICampaignCaller {
 	private entries: readonly EntryAddresses[] = [];
 	private validUntilMs = Number.NEGATIVE_INFINITY;
 
 	constructor(
-		private readonly surroundings: CallerSurroundings,
+		private readonly callerContext: CallerContext,
 		private readonly log: CampaignLog,
 	) {}
 
 	async runCall(callId: string): Promise<void> {
-		const told: string[] = [];
-		for (let attempt = 0; attempt < mostTries; attempt++) {
+		const outcomes: string[] = [];
+		for (let attempt = 0; attempt < maxAttempts; attempt++) {
 			const record = await this.sendOnce(`${callId}-${attempt}`, attempt);
-			if (record.told === Told.Answered) {
+			if (record.told === SendOutcome.Answered) {
 				return;
 			}
-			told.push(`${record.told} ${record.errorKind}${record.fault} at ${record.entry}`);
-			if (!isToldToGoOn(record)) {
+			outcomes.push(`${record.told} ${record.errorKind}${record.fault} at ${record.entry}`);
+			if (!isSafeToRetry(record)) {
 				break;
 			}
 		}
-		this.log.noteViolation(Invariant.RollingReplacement, `${callId}: ${told.join(', then ')}`);
+		this.log.recordViolation(Invariant.RollingReplacement, `${callId}: ${outcomes.join(', then ')}`);
 	}
 
 	private async sendOnce(callId: string, attempt: number): Promise<SendRecord> {
-		const { home, sender, stage } = this.surroundings;
+		const { home, sender, stage } = this.callerContext;
 		await this.updateEntries();
-		const entry = this.entries[attempt % this.entries.length] ?? pickEntry(this.surroundings, home);
+		const entry = this.entries[attempt % this.entries.length] ?? pickRandomEntry(this.callerContext, home);
 		const { answer, record } = await sender.send(createCheck(callId, home), entry);
-		if (record.told === Told.NotRun) {
+		if (record.told === SendOutcome.NotRun) {
 			await waitFor(stage.timers, getRetryAfterMs(answer));
 		}
-		if (record.told !== Told.Answered) {
+		if (record.told !== SendOutcome.Answered) {
 			this.validUntilMs = Number.NEGATIVE_INFINITY;
 		}
 		return record;
 	}
 
 	private async updateEntries(): Promise<void> {
-		const { stage, home } = this.surroundings;
+		const { stage, home } = this.callerContext;
 		if (stage.timers.getNow() < this.validUntilMs) {
 			return;
 		}
-		const { callers } = pickEntry(this.surroundings, home);
+		const { callers } = pickRandomEntry(this.callerContext, home);
 		const url = `${callers}/v1/entries?service=${services.bookings}&organisation=${organisations[home]}`;
 		const lookup = lookupSchema.safeParse(parseJson(await stage.caller.send({ method: 'GET', url }))).data;
 		if (lookup === undefined) {
 			return;
 		}
-		const named = lookup.entries.map(({ instance }) => instance);
-		this.entries = named.flatMap(name => stage.addresses.entries.filter(entry => entry.instance === name));
+		const instances = lookup.entries.map(({ instance }) => instance);
+		this.entries = instances.flatMap(name =>
+			stage.addresses.entries.filter(entry => entry.instance === name),
+		);
 		this.validUntilMs = stage.timers.getNow() + lookup.validForMs;
 	}
 }
 
-/** Refused with nothing run, or never taken: the next entry may be asked without a doubt. */
-function isToldToGoOn({ told, fault }: SendRecord): boolean {
-	return told === Told.NotRun || (told === Told.Nothing && fault.includes('ECONNREFUSED'));
+/** Whether the call has certainly not run: it was refused as not run, or the connection was refused. */
+function isSafeToRetry({ told, fault }: SendRecord): boolean {
+	return told === SendOutcome.NotRun || (told === SendOutcome.NoResponse && fault.includes('ECONNREFUSED'));
 }
 
 function getRetryAfterMs(answer: CallAnswer): number {
-	return refusalSchema.safeParse(parseJson(answer)).data?.retryAfterMs ?? usualPauseMs;
+	return refusalSchema.safeParse(parseJson(answer)).data?.retryAfterMs ?? defaultRetryAfterMs;
 }
--- a/src/prove/common/callers/payer.ts
+++ b/src/prove/common/callers/payer.ts
@@ -1,6 +1,6 @@
 /**
- * Payers who do not trust their line: each payment has one ticket and is sent several times, to the same
- * and to other entries, at once and later, also after the ticket's life.
+ * A caller that sends duplicates: each payment has one ticket and is sent one or more times, to the entry that
+ * issued the ticket and to random entries of the region, at once and later, also after the ticket has expired.
  */
 
 import { waitFor } from '../../../demo/common/poll';
@@ -11,58 +11,58 @@
 import { organisations, services } from '../../../demo/common/names';
 import { createPayment } from '../calls';
 import { Phase } from '../sendRecord';
-import type { CallerSurroundings, ICampaignCaller } from './campaignCaller';
-import { pickEntry } from './campaignCaller';
+import type { CallerContext, ICampaignCaller } from './campaignCaller';
+import { pickRandomEntry } from './campaignCaller';
 
 const ticketsSchema = z.object({ tickets: z.array(z.string()) });
 
-/** Life of a ticket in a campaign, in milliseconds: short, so that freezes outlast it. */
-export const ticketLifeMs = 2_000;
+/** Lifetime of a ticket in a campaign, in milliseconds. Short, so that the freeze of an entry lasts longer. */
+export const ticketLifetimeMs = 2_000;
 
-const lookupLimitMs = 3_000;
-const mostCopies = 3;
-const longestWaitMs = 300;
-/** One payment in so many is sent again after its ticket expired. */
-const lateOneIn = 10;
+const lookupTimeoutMs = 3_000;
+const maxInitialSends = 3;
+const maxDelayMs = 300;
+/** One in this number of payments is sent again after its ticket has expired. */
+const lateSendOneIn = 10;
 
-/** Makes payments. */
-export class Payer implements ICampaignCaller {
-	constructor(private readonly surroundings: CallerSurroundings) {}
+/** Makes payments with duplicate sends. */
+export class PaymentCaller implements ICampaignCaller {
+	constructor(private readonly callerContext: CallerContext) {}
 
 	async runCall(callId: string): Promise<void> {
-		const { home, random } = this.surroundings;
-		const issuer = pickEntry(this.surroundings, home);
+		const { home, random } = this.callerContext;
+		const issuer = pickRandomEntry(this.callerContext, home);
 		const ticket = await this.fetchTicket(issuer);
 		if (ticket === undefined) {
 			return;
 		}
 		const call = createPayment(callId, home, ticket);
-		const copies = 1 + random.pickBelow(mostCopies);
-		const sends = Array.from({ length: copies }, (_, index) => ({
-			entry: index === 0 ? issuer : pickEntry(this.surroundings, home),
-			delayMs: index === 0 || random.pickBelow(2) === 0 ? 0 : random.pickBelow(longestWaitMs),
+		const sendCount = 1 + random.pickBelow(maxInitialSends);
+		const sends = Array.from({ length: sendCount }, (_, index) => ({
+			entry: index === 0 ? issuer : pickRandomEntry(this.callerContext, home),
+			delayMs: index === 0 || random.pickBelow(2) === 0 ? 0 : random.pickBelow(maxDelayMs),
 		}));
-		await Promise.all(sends.map(({ entry, delayMs }) => this.sendLater(call, entry, delayMs)));
-		if (this.surroundings.sender.phase !== Phase.Calm && random.pickBelow(lateOneIn) === 0) {
-			await this.sendLater(call, pickEntry(this.surroundings, home), ticketLifeMs);
+		await Promise.all(sends.map(({ entry, delayMs }) => this.sendDelayed(call, entry, delayMs)));
+		if (this.callerContext.sender.phase !== Phase.Calm && random.pickBelow(lateSendOneIn) === 0) {
+			await this.sendDelayed(call, pickRandomEntry(this.callerContext, home), ticketLifetimeMs);
 		}
 	}
 
-	private async sendLater(
+	private async sendDelayed(
 		call: ReturnType<typeof createPayment>,
 		entry: EntryAddresses,
 		delayMs: number,
 	): Promise<void> {
-		await waitFor(this.surroundings.stage.timers, delayMs);
-		await this.surroundings.sender.send(call, entry);
+		await waitFor(this.callerContext.stage.timers, delayMs);
+		await this.callerContext.sender.send(call, entry);
 	}
 
 	private async fetchTicket(entry: EntryAddresses): Promise<string | undefined> {
-		const { stage, home } = this.surroundings;
+		const { stage, home } = this.callerContext;
 		const query = `service=${services.bookings}&organisation=${organisations[home]}&tickets=1`;
 		const answer = await Promise.race([
 			stage.caller.send({ method: 'GET', url: `${entry.callers}/v1/entries?${query}` }),
-			waitFor(stage.timers, lookupLimitMs),
+			waitFor(stage.timers, lookupTimeoutMs),
 		]);
 		return answer === undefined ? undefined : parseTicket(answer);
 	}
--- a/src/prove/common/callers/plainCallers.ts
+++ b/src/prove/common/callers/plainCallers.ts
@@ -1,44 +1,45 @@
 /**
- * Callers who send each call once, to an entry of their own region or, by mistake, of another.
+ * Callers that send each call once, to an entry of their home region or, for misdirected calls, of another
+ * region.
  */
 
 import { createCheck, createDraft, createEcho, regionKeys } from '../calls';
 import { CallKind } from '../sendRecord';
-import type { CallerSurroundings, ICampaignCaller } from './campaignCaller';
-import { pickEntry, pickOne } from './campaignCaller';
+import type { CallerContext, ICampaignCaller } from './campaignCaller';
+import { pickRandom, pickRandomEntry } from './campaignCaller';
 
-/** Asks what may be asked twice, by turns for a count and for its bytes. */
-export class Reader implements ICampaignCaller {
-	constructor(private readonly surroundings: CallerSurroundings) {}
+/** Sends calls that may be repeated, at random a check or an echo. */
+export class RepeatableCaller implements ICampaignCaller {
+	constructor(private readonly callerContext: CallerContext) {}
 
 	async runCall(callId: string): Promise<void> {
-		const { home, random, sender } = this.surroundings;
+		const { home, random, sender } = this.callerContext;
 		const call = random.pickBelow(2) === 0 ? createCheck(callId, home) : createEcho(callId, home, random);
-		await sender.send(call, pickEntry(this.surroundings, home));
+		await sender.send(call, pickRandomEntry(this.callerContext, home));
 	}
 }
 
-/** Reads streamed drafts of so many tokens. */
-export class Drafter implements ICampaignCaller {
+/** Requests streamed drafts of `tokens` tokens. */
+export class DraftCaller implements ICampaignCaller {
 	constructor(
-		private readonly surroundings: CallerSurroundings,
+		private readonly callerContext: CallerContext,
 		private readonly tokens: number,
 	) {}
 
 	async runCall(callId: string): Promise<void> {
-		const { home, sender } = this.surroundings;
-		await sender.send(createDraft(callId, home, this.tokens), pickEntry(this.surroundings, home));
+		const { home, sender } = this.callerContext;
+		await sender.send(createDraft(callId, home, this.tokens), pickRandomEntry(this.callerContext, home));
 	}
 }
 
-/** Sends bound calls to entries of another region. */
+/** Sends calls that must run in their home region to entries of other regions. */
 export class MisdirectedCaller implements ICampaignCaller {
-	constructor(private readonly surroundings: CallerSurroundings) {}
+	constructor(private readonly callerContext: CallerContext) {}
 
 	async runCall(callId: string): Promise<void> {
-		const { home, random, sender } = this.surroundings;
-		const others = regionKeys.filter(region => region !== home);
+		const { home, random, sender } = this.callerContext;
+		const otherRegions = regionKeys.filter(region => region !== home);
 		const call = createCheck(callId, home, CallKind.Misdirected);
-		await sender.send(call, pickEntry(this.surroundings, pickOne(random, others)));
+		await sender.send(call, pickRandomEntry(this.callerContext, pickRandom(random, otherRegions)));
 	}
 }
--- a/src/prove/common/calls.ts
+++ b/src/prove/common/calls.ts
@@ -1,5 +1,5 @@
 /**
- * The calls of a campaign: what is asked, and what a whole answer must be.
+ * Creates the calls of a campaign: the request of each and the check of a complete answer to it.
  */
 
 import type { IRandom } from '../../base/common/random';
@@ -15,13 +15,13 @@
 /** The name of a region of the deployment. */
 export type RegionKey = keyof typeof organisations;
 
-/** The regions, each the home of one organisation. */
+/** The regions of the deployment. Each is the home region of one organisation. */
 export const regionKeys = Object.keys(organisations) as RegionKey[];
 
 const shortDeadlineMs = 4_000;
 const draftDeadlineMs = 15_000;
 const echoBytes = 40_000;
-const byteValues = 256;
+const byteValueCount = 256;
 
 const runAnswerSchema = z.object({ callId: z.string(), runs: z.number() });
 
@@ -30,7 +30,9 @@
 	return answer.status === 200 && parsed.success && parsed.data.callId === callId;
 }
 
-/** A payment of an organisation of the region. */
+/**
+ * Creates a payment for the organisation whose home region is `home`. It has a ticket and runs at most once.
+ */
 export function createPayment(callId: string, home: RegionKey, ticket: string): CampaignCall {
 	return {
 		callId,
@@ -48,7 +50,7 @@
 	};
 }
 
-/** A call that may be repeated and whose runs are counted. */
+/** Creates a call that may be run repeatedly. The service counts its runs. */
 export function createCheck(callId: string, home: RegionKey, kind = CallKind.Check): CampaignCall {
 	return {
 		callId,
@@ -66,9 +68,9 @@
 	};
 }
 
-/** A body of random bytes that must come back as it went. */
+/** Creates a call with a body of random bytes, which the service must return unchanged. */
 export function createEcho(callId: string, home: RegionKey, random: IRandom): CampaignCall {
-	const body = Uint8Array.from({ length: echoBytes }, () => random.pickBelow(byteValues));
+	const body = Uint8Array.from({ length: echoBytes }, () => random.pickBelow(byteValueCount));
 	return {
 		callId,
 		kind: CallKind.Echo,
@@ -79,7 +81,7 @@
 	};
 }
 
-/** A streamed draft, which any region may answer. */
+/** Creates a call for a streamed draft, which any region may answer. */
 export function createDraft(callId: string, home: RegionKey, tokens: number): CampaignCall {
 	return {
 		callId,
@@ -97,10 +99,10 @@
 	};
 }
 
-/** The text in a body that kills the stand-in of a target. */
+/** A request body that contains this text crashes the simulated target that runs it. */
 const crashMark = 'CRASH-MARK';
 
-/** A draft that kills each engine that runs it. */
+/** Creates a draft that crashes each inference engine that runs it. */
 export function createCrash(callId: string, home: RegionKey): CampaignCall {
 	const draft = createDraft(callId, home, 1);
 	const body = createInference(`${callId} ${crashMark}`, 1, true);
--- a/src/prove/common/campaignLog.ts
+++ b/src/prove/common/campaignLog.ts
@@ -1,5 +1,6 @@
 /**
- * What a campaign writes down while it runs: every send, every fault and what was seen to be wrong at once.
+ * Collects what a campaign records while it runs: every send, every injected fault, and the violations that
+ * are found during the run.
  */
 
 import type { FaultKind } from './faultSchedule';
@@ -10,19 +11,19 @@
 	readonly sends: SendRecord[] = [];
 	readonly injected: FaultKind[] = [];
 	readonly violations: Violation[] = [];
-	/** Time until each published manifest was in force at all reachable entries, in milliseconds. */
+	/** Time that each published manifest took to be in force at all reachable entries, in milliseconds. */
 	readonly spreadMs: number[] = [];
 
-	/** @param report Called with each fault and breach as it happens. */
-	constructor(private readonly report: (line: string) => void) {}
+	/** @param reportLine Called with one line for each fault and violation when it is recorded. */
+	constructor(private readonly reportLine: (line: string) => void) {}
 
-	noteFault(kind: FaultKind, place: string): void {
+	recordFault(kind: FaultKind, place: string): void {
 		this.injected.push(kind);
-		this.report(`${kind}: ${place}`);
+		this.reportLine(`${kind}: ${place}`);
 	}
 
-	noteViolation(invariant: Invariant, detail: string): void {
+	recordViolation(invariant: Invariant, detail: string): void {
 		this.violations.push({ invariant, detail });
-		this.report(`BROKEN: ${invariant}: ${detail}`);
+		this.reportLine(`BROKEN: ${invariant}: ${detail}`);
 	}
 }
--- a/src/prove/common/disturbances.ts
+++ b/src/prove/common/disturbances.ts
@@ -1,25 +1,27 @@
 /**
- * Which entries are out of reach by the campaign's own doing, and since when they are back. What is
- * promised of all reachable entries is judged only at those that were reachable the whole time.
+ * Tracks which entries the campaign itself has made unreachable, and when each became reachable again.
+ * Invariants on all reachable entries are checked only at entries that were reachable for the whole period.
  */
 
-export class Disturbances {
-	private readonly openCounts = new Map<string, number>();
-	private readonly endedMs = new Map<string, number>();
+export class EntryDisruptions {
+	private readonly activeCounts = new Map<string, number>();
+	private readonly lastEndMs = new Map<string, number>();
 
 	begin(entry: string): void {
-		this.openCounts.set(entry, (this.openCounts.get(entry) ?? 0) + 1);
+		this.activeCounts.set(entry, (this.activeCounts.get(entry) ?? 0) + 1);
 	}
 
-	/** Several disturbances of one entry may overlap; it is back when all have ended. */
+	/**
+	 * Ends one disruption. Disruptions of an entry may overlap: it is reachable again when all have ended.
+	 */
 	end(entry: string, nowMs: number): void {
-		this.openCounts.set(entry, (this.openCounts.get(entry) ?? 1) - 1);
-		this.endedMs.set(entry, nowMs);
+		this.activeCounts.set(entry, (this.activeCounts.get(entry) ?? 1) - 1);
+		this.lastEndMs.set(entry, nowMs);
 	}
 
-	/** Whether the entry was left alone from `sinceMs` until now. */
-	isUndisturbedSince(entry: string, sinceMs: number): boolean {
-		const isOpen = (this.openCounts.get(entry) ?? 0) > 0;
-		return !isOpen && (this.endedMs.get(entry) ?? Number.NEGATIVE_INFINITY) < sinceMs;
+	/** Whether no disruption of the entry was active from `sinceMs` until now. */
+	isUndisruptedSince(entry: string, sinceMs: number): boolean {
+		const isDisrupted = (this.activeCounts.get(entry) ?? 0) > 0;
+		return !isDisrupted && (this.lastEndMs.get(entry) ?? Number.NEGATIVE_INFINITY) < sinceMs;
 	}
 }
--- a/src/prove/common/faultSchedule.ts
+++ b/src/prove/common/faultSchedule.ts
@@ -1,6 +1,6 @@
 /**
- * Draws the faults of a campaign from its seed: every kind once, in an order and at places of the seed's
- * choice, and in the long form some of them again.
+ * Creates the fault schedule of a campaign from its random seed: every kind of fault once, in random order
+ * and at random places. The long form repeats some kinds.
  */
 
 import type { IRandom } from '../../base/common/random';
@@ -12,19 +12,19 @@
 	StopEntry = 'stop-entry',
 	CutLinks = 'cut-links',
 	SilenceLinks = 'silence-links',
-	/** Connections open to a target lose their far end for good. */
+	/** Open connections to a target permanently stop carrying data. New connections work. */
 	SilenceTarget = 'silence-target',
-	/** Runs requests and answers none. */
+	/** A target runs requests and sends no answers. */
 	TargetSilent = 'target-silent',
 	TargetDiesMidAnswer = 'target-dies-mid-answer',
 	TargetRefuses = 'target-refuses',
-	TargetCrossesAnswers = 'target-crosses-answers',
-	TargetLeavesByWord = 'target-leaves-by-word',
-	TargetLeavesByManifest = 'target-leaves-by-manifest',
+	TargetAnswersWrongAttempt = 'target-crosses-answers',
+	TargetReportsLeaving = 'target-leaves-by-word',
+	TargetLeavingInManifest = 'target-leaves-by-manifest',
 	PlatformDown = 'platform-down',
 	PlatformSilent = 'platform-silent',
-	PlatformGoesBack = 'platform-goes-back',
-	OperatorsRace = 'operators-race',
+	PlatformServesOldVersion = 'platform-goes-back',
+	ConcurrentPublications = 'operators-race',
 	IsolateRegion = 'isolate-region',
 	CrashingRequest = 'crashing-request',
 }
@@ -32,26 +32,29 @@
 /** One fault of a schedule. */
 export interface PlannedFault {
 	readonly kind: FaultKind;
-	/** Index that the injecting code reduces to one of the entries, regions or targets at hand. */
+	/** Index that the fault reduces modulo the number of its candidate entries, regions or targets. */
 	readonly place: number;
 }
 
-const placeRange = 1_000;
-const faultsAgain: readonly FaultKind[] = [FaultKind.KillEntry, FaultKind.FreezeEntry];
+const placeCount = 1_000;
+const repeatedFaults: readonly FaultKind[] = [FaultKind.KillEntry, FaultKind.FreezeEntry];
 
-/** Draws the schedule; the short form has every kind once. */
+/** Creates a random schedule. The short form has every kind once. */
 export function planFaults(random: IRandom, kinds: readonly FaultKind[], isShort: boolean): PlannedFault[] {
-	const again = isShort ? [] : faultsAgain.filter(kind => kinds.includes(kind));
-	return pickOrder(random, [...kinds, ...again]).map(kind => ({ kind, place: random.pickBelow(placeRange) }));
+	const repeated = isShort ? [] : repeatedFaults.filter(kind => kinds.includes(kind));
+	return orderRandomly(random, [...kinds, ...repeated]).map(kind => ({
+		kind,
+		place: random.pickBelow(placeCount),
+	}));
 }
 
-/** The kinds that a list of injected faults leaves out. */
+/** Lists the kinds that do not occur among the injected faults. */
 export function listMissing(kinds: readonly FaultKind[], injected: readonly FaultKind[]): FaultKind[] {
 	return kinds.filter(kind => !injected.includes(kind));
 }
 
-/** A uniformly drawn order of the items. */
-function pickOrder<TItem>(random: IRandom, items: readonly TItem[]): TItem[] {
-	const left = [...items];
-	return items.flatMap(() => left.splice(random.pickBelow(left.length), 1));
+/** Returns the items in a uniformly random order. */
+function orderRandomly<TItem>(random: IRandom, items: readonly TItem[]): TItem[] {
+	const remaining = [...items];
+	return items.flatMap(() => remaining.splice(random.pickBelow(remaining.length), 1));
 }
--- a/src/prove/common/invariants.ts
+++ b/src/prove/common/invariants.ts
@@ -1,36 +1,37 @@
 /**
- * The invariants of a campaign, checked at its end against the callers' view and the targets' view. None
- * rests on how fast the machine was.
+ * The invariants of a campaign. Those that follow from the callers' records of sends and the targets' records
+ * of runs are checked here, at the end of the campaign. None of these checks depends on the speed of the
+ * machine.
  */
 
 import type { SendRecord } from './sendRecord';
-import { CallKind, gaveUp, Phase, Told } from './sendRecord';
+import { callerGaveUpFault, CallKind, Phase, SendOutcome } from './sendRecord';
 
-/** Every invariant that a campaign judges. */
+/** The invariants that a campaign checks. */
 export enum Invariant {
-	NotRunMeansNoRun = 'told not-run, never run',
+	NotRunNeverRan = 'told not-run, never run',
 	PaymentsRunOnce = 'a payment runs at most once',
-	FaultlessPayments = 'without faults a payment runs exactly once, resends get its answer',
-	WholeAnswers = 'a whole answer is the right one',
-	NobodyWaitsInVain = 'every caller is told something soon after its deadline',
-	BoundStaysHome = 'bound calls run in their region only',
-	IsolatedRegionServes = 'a region that is cut off serves',
+	PaymentsWithoutFaults = 'without faults a payment runs exactly once, resends get its answer',
+	CompleteAnswersCorrect = 'a whole answer is the right one',
+	NoUnansweredCaller = 'every caller is told something soon after its deadline',
+	BoundCallsStayInRegion = 'bound calls run in their region only',
+	IsolatedRegionAnswers = 'a region that is cut off serves',
 	GracefulStop = 'a planned stop cuts off nothing and ends by itself',
 	RollingReplacement = 'a rolling replacement fails no caller that follows lookups',
 	LeavingTargets = 'a leaving target gets no new work after 3 s',
-	ManifestSpreads = 'a manifest is in force everywhere within 9 s',
+	ManifestPropagates = 'a manifest is in force everywhere within 9 s',
 	ManifestNeverReverts = 'a manifest is never replaced by an older one',
 	CrashesContained = 'a crashing request kills at most 2 targets',
 	EveryFaultInjected = 'every kind of fault was injected',
 }
 
-/** One breach of an invariant. */
+/** One violation of an invariant. */
 export interface Violation {
 	readonly invariant: Invariant;
 	readonly detail: string;
 }
 
-/** The targets' view: how often one service ran a call. */
+/** How often one target ran a call, as counted by the target. */
 export interface RunRecord {
 	readonly callId: string;
 	readonly target: string;
@@ -38,38 +39,38 @@
 	readonly runs: number;
 }
 
-/** Both views of the calls. */
-export interface Ledgers {
+/** The calls of a campaign as recorded by the callers (`sends`) and by the targets (`runs`). */
+export interface CampaignRecords {
 	readonly sends: readonly SendRecord[];
 	readonly runs: readonly RunRecord[];
 }
 
-type Check = (ledgers: Ledgers) => Violation[];
+type InvariantCheck = (records: CampaignRecords) => Violation[];
 
-/** Checks every invariant that follows from the two ledgers alone. */
-export function checkLedgers(ledgers: Ledgers): Violation[] {
-	const checks: readonly Check[] = [
+/** Checks every invariant that can be decided from the records of callers and targets alone. */
+export function checkRecords(records: CampaignRecords): Violation[] {
+	const checks: readonly InvariantCheck[] = [
 		checkNotRun,
 		checkPaymentRuns,
-		checkFaultlessPayments,
-		checkWholeAnswers,
-		checkWaits,
+		checkPaymentsWithoutFaults,
+		checkCompleteAnswers,
+		checkUnansweredCallers,
 		checkBoundCalls,
 		checkGracefulStops,
 	];
-	return checks.flatMap(check => check(ledgers));
+	return checks.flatMap(check => check(records));
 }
 
-function checkNotRun({ sends, runs }: Ledgers): Violation[] {
+function checkNotRun({ sends, runs }: CampaignRecords): Violation[] {
 	const counts = sumRuns(runs);
 	return sends
-		.filter(send => send.told === Told.NotRun && (counts.get(send.callId) ?? 0) > 0)
+		.filter(send => send.told === SendOutcome.NotRun && (counts.get(send.callId) ?? 0) > 0)
 		.map(send =>
-			createViolation(Invariant.NotRunMeansNoRun, send, `ran ${counts.get(send.callId) ?? 0} times`),
+			createViolation(Invariant.NotRunNeverRan, send, `ran ${counts.get(send.callId) ?? 0} times`),
 		);
 }
 
-function checkPaymentRuns({ sends, runs }: Ledgers): Violation[] {
+function checkPaymentRuns({ sends, runs }: CampaignRecords): Violation[] {
 	const counts = sumRuns(runs);
 	return listFirstSends(sends, CallKind.Payment)
 		.filter(send => (counts.get(send.callId) ?? 0) > 1)
@@ -78,58 +79,85 @@
 		);
 }
 
-function checkFaultlessPayments({ sends, runs }: Ledgers): Violation[] {
+function checkPaymentsWithoutFaults({ sends, runs }: CampaignRecords): Violation[] {
 	const counts = sumRuns(runs);
 	return listFirstSends(sends, CallKind.Payment)
 		.filter(first => sends.every(send => send.callId !== first.callId || send.phase === Phase.Calm))
 		.flatMap(first => {
 			const copies = sends.filter(send => send.callId === first.callId);
 			const count = counts.get(first.callId) ?? 0;
-			const other = copies.find(copy => copy.told !== Told.Answered || copy.text !== first.text);
+			const different = copies.find(copy => copy.told !== SendOutcome.Answered || copy.text !== first.text);
 			return [
-				...(count === 1 ? [] : [createViolation(Invariant.FaultlessPayments, first, `ran ${count} times`)]),
-				...(other === undefined
+				...(count === 1
 					? []
-					: [createViolation(Invariant.FaultlessPayments, other, 'not the first answer')]),
+					: [createViolation(Invariant.PaymentsWithoutFaults, first, `ran ${count} times`)]),
+				...(different === undefined
+					? []
+					: [
+							createViolation(Invariant.PaymentsWithoutFaults, different, 'not answered like the first send'),
+						]),
 			];
 		});
 }
 
-function checkWholeAnswers({ sends }: Ledgers): Violation[] {
+function checkCompleteAnswers({ sends }: CampaignRecords): Violation[] {
 	return sends
-		.filter(send => send.told === Told.Untold || (send.told === Told.Answered && !send.isExpected))
-		.map(send => createViolation(Invariant.WholeAnswers, send, `status ${send.status}, ${send.text}`));
+		.filter(
+			send =>
+				send.told === SendOutcome.MissingOutcome || (send.told === SendOutcome.Answered && !send.isExpected),
+		)
+		.map(send =>
+			createViolation(Invariant.CompleteAnswersCorrect, send, `status ${send.status}, ${send.text}`),
+		);
 }
 
-/** A broken connection tells a caller that the outcome is unknown; silence tells it nothing. */
-function checkWaits({ sends }: Ledgers): Violation[] {
+/**
+ * A caller may treat a broken connection as an unknown outcome. A call that times out without a response is a
+ * violation.
+ */
+function checkUnansweredCallers({ sends }: CampaignRecords): Violation[] {
 	return sends
-		.filter(send => send.fault === gaveUp)
-		.map(send => createViolation(Invariant.NobodyWaitsInVain, send, `waited ${Math.round(send.tookMs)} ms`));
+		.filter(send => send.fault === callerGaveUpFault)
+		.map(send => createViolation(Invariant.NoUnansweredCaller, send, `waited ${Math.round(send.tookMs)} ms`));
 }
 
-function checkBoundCalls({ sends, runs }: Ledgers): Violation[] {
+function checkBoundCalls({ sends, runs }: CampaignRecords): Violation[] {
 	const firstSends = new Map(sends.map(send => [send.callId, send]));
 	return runs.flatMap(run => {
 		const send = firstSends.get(run.callId);
 		return send?.home === undefined || send.home === run.region
 			? []
-			: [createViolation(Invariant.BoundStaysHome, send, `bound to ${send.home}, ran at ${run.target}`)];
+			: [
+					createViolation(
+						Invariant.BoundCallsStayInRegion,
+						send,
+						`bound to ${send.home}, ran at ${run.target}`,
+					),
+				];
 	});
 }
 
 /**
- * While entries are only being replaced, no answer breaks off and none is left in doubt. A ticket is the
- * exception: it names one start of an entry, and a resend after that start may have to be told `unknown`.
+ * While entries are only being replaced, every answer must be complete and no outcome may be unknown. Calls
+ * with a ticket may get `unknown`: a ticket is tied to one start of an entry, so after a restart that entry
+ * may be unable to determine the outcome of a resent call.
  */
-function checkGracefulStops({ sends }: Ledgers): Violation[] {
+function checkGracefulStops({ sends }: CampaignRecords): Violation[] {
 	return sends
 		.filter(send => send.phase === Phase.Replacement)
-		.filter(send => send.told === Told.Cut || (send.told === Told.Unknown && !send.isTicketed))
-		.map(send => createViolation(Invariant.GracefulStop, send, 'cut off by a planned stop'));
+		.filter(
+			send => send.told === SendOutcome.Incomplete || (send.told === SendOutcome.Unknown && !send.isTicketed),
+		)
+		.map(send =>
+			createViolation(
+				Invariant.GracefulStop,
+				send,
+				'incomplete answer or unknown outcome during a planned stop',
+			),
+		);
 }
 
-/** Runs of each call over all services. */
+/** Sums the runs of each call over all targets. */
 function sumRuns(runs: readonly RunRecord[]): ReadonlyMap<string, number> {
 	const counts = new Map<string, number>();
 	for (const run of runs) {
--- a/src/prove/common/manifestLedger.ts
+++ b/src/prove/common/manifestLedger.ts
@@ -1,31 +1,34 @@
 /**
- * Which manifest each start of each entry said to have in force, and whether one ever went back.
+ * Checks that no entry replaces its manifest by an older one, or by another one of the same version.
  */
 
-/** What an entry said at one moment. */
-export interface ManifestSighting {
+/** The manifest that was in force at an entry at one moment, as reported by its status. */
+export interface ManifestObservation {
 	readonly entry: string;
 	readonly boot: string;
 	readonly version: number;
 	readonly digest: string;
 }
 
-/** Remembers the newest sighting of each start of an entry. */
-export class ManifestLedger {
-	private readonly newestByBoot = new Map<string, ManifestSighting>();
+/** Compares each observation with the previous one of the same start (`boot`) of an entry. */
+export class ManifestRegressionCheck {
+	private readonly latestByBoot = new Map<string, ManifestObservation>();
 
-	/** Notes a sighting and tells in words where it goes back; undefined where all is well. */
-	note(sighting: ManifestSighting): string | undefined {
-		const before = this.newestByBoot.get(sighting.boot);
-		this.newestByBoot.set(sighting.boot, sighting);
-		if (before === undefined || sighting.version > before.version) {
+	/**
+	 * Stores an observation. Returns a description if the manifest regressed since the previous one, else
+	 * undefined.
+	 */
+	checkObservation(observation: ManifestObservation): string | undefined {
+		const previous = this.latestByBoot.get(observation.boot);
+		this.latestByBoot.set(observation.boot, observation);
+		if (previous === undefined || observation.version > previous.version) {
 			return undefined;
 		}
-		if (sighting.version < before.version) {
-			return `${sighting.entry} went from version ${before.version} back to ${sighting.version}`;
+		if (observation.version < previous.version) {
+			return `${observation.entry} went from version ${previous.version} back to ${observation.version}`;
 		}
-		return sighting.digest === before.digest
+		return observation.digest === previous.digest
 			? undefined
-			: `${sighting.entry} replaced its document of version ${before.version} by another one`;
+			: `${observation.entry} replaced its manifest of version ${previous.version} by another one`;
 	}
 }
--- a/src/prove/common/sendRecord.ts
+++ b/src/prove/common/sendRecord.ts
@@ -1,101 +1,101 @@
 /**
- * The caller's view of a campaign: one record for each send, with what the caller was told.
+ * The callers' records of a campaign: one for each send, with the outcome that the answer reported.
  */
 
 import type { CallAnswer } from '../../demo/common/caller';
 import { getErrorKind, getOutcome, getText } from '../../demo/common/caller';
 
-/** What kind of call a send belongs to. */
+/** The kinds of calls that a campaign sends. */
 export enum CallKind {
 	/** Runs at most once and carries a ticket. */
 	Payment = 'payment',
-	/** May be repeated; the service counts its runs. */
+	/** May be run repeatedly. The service counts its runs. */
 	Check = 'check',
-	/** A body that comes back byte for byte. */
+	/** Its body must be returned byte for byte. */
 	Echo = 'echo',
-	/** A stream of tokens that are known beforehand. */
+	/** Answered by a stream of tokens that are known in advance. */
 	Draft = 'draft',
-	/** A bound check that is sent to an entry of another region. */
+	/** A check that must run in its home region, sent to an entry of another region. */
 	Misdirected = 'misdirected',
-	/** A body that kills the target that runs it. */
+	/** Its body crashes the target that runs it. */
 	Crash = 'crash',
 }
 
-/** The parts of a campaign; no call is in progress when one gives way to the next. */
+/** The phases of a campaign. No call of the campaign's callers is in progress between two phases. */
 export enum Phase {
 	/** No fault is injected. */
 	Calm = 'calm',
-	/** Faults of all kinds, several at once. */
+	/** Faults of all kinds are injected, several at the same time. */
 	Faults = 'faults',
-	/** Every entry is stopped and started again; nothing else goes wrong. */
+	/** Entries are stopped and started again. No other fault is injected. */
 	Replacement = 'replacement',
 }
 
-/** What a caller was told about one send. */
-export enum Told {
+/** The outcome of one send as reported to its caller. */
+export enum SendOutcome {
 	Answered = 'answered',
 	NotRun = 'not-run',
 	Unknown = 'unknown',
-	/** The head of an answer came, and an error before the end of the body. */
-	Cut = 'cut',
-	/** No head came: the connection was refused or broke, or the caller waited in vain. */
-	Nothing = 'nothing',
-	/** A head came that tells no outcome; entries never send one. */
-	Untold = 'untold',
+	/** The head of an answer arrived, and an error occurred before the end of the body. */
+	Incomplete = 'cut',
+	/** No head arrived: the connection was refused or failed, or the call timed out. */
+	NoResponse = 'nothing',
+	/** A head arrived that reports no outcome. Entries must never send one. */
+	MissingOutcome = 'untold',
 }
 
-/** What is known of a send before it is answered. */
+/** The part of a send's record that is known before the answer. */
 export interface PlannedSend {
-	/** The caller's own id of the call; resends share it. */
+	/** Id that the caller gives to the call. All sends of the call share it. */
 	readonly callId: string;
 	readonly kind: CallKind;
-	/** Region that the call is bound to, undefined where any may answer. */
+	/** Region in which the call must run, or undefined if it may run in any region. */
 	readonly home: string | undefined;
-	/** Instance and region of the entry that it is sent to. */
+	/** Instance and region of the entry that the call is sent to. */
 	readonly entry: string;
 	readonly region: string;
 	readonly isTicketed: boolean;
 	readonly phase: Phase;
 }
 
-/** One send and what came of it. */
+/** One send and its result. */
 export interface SendRecord extends PlannedSend {
-	readonly told: Told;
+	readonly told: SendOutcome;
 	readonly status: number;
 	readonly errorKind: string;
-	/** Whether the body is the one that the call must get; means nothing unless `told` is `answered`. */
+	/** Whether the answer is the one that the call must get. Meaningful only if `told` is `answered`. */
 	readonly isExpected: boolean;
-	/** The answer's text, for comparing the answers to resends; empty for long bodies. */
+	/** The answer's text, used to compare the answers to several sends of a call. Empty for long bodies. */
 	readonly text: string;
 	readonly fault: string;
-	/** Start of the send and its length, in milliseconds on the campaign's clock. */
+	/** Start and duration of the send, in milliseconds on the campaign's clock. */
 	readonly startMs: number;
 	readonly tookMs: number;
 }
 
-/** The fault of a send whose caller gave up, long after its deadline. */
-export const gaveUp = 'the caller gave up';
+/** The `fault` of a send that got no answer until long after its deadline. */
+export const callerGaveUpFault = 'the caller gave up';
 
-const longestTextBytes = 1_024;
+const maxTextBytes = 1_024;
 
-const toldByOutcome: ReadonlyMap<string, Told> = new Map([
-	['answered', Told.Answered],
-	['not-run', Told.NotRun],
-	['unknown', Told.Unknown],
+const outcomesByHeader: ReadonlyMap<string, SendOutcome> = new Map([
+	['answered', SendOutcome.Answered],
+	['not-run', SendOutcome.NotRun],
+	['unknown', SendOutcome.Unknown],
 ]);
 
-/** What an answer tells its caller. */
-export function parseTold(answer: CallAnswer): Told {
+/** Determines the outcome that an answer reports. */
+export function parseSendOutcome(answer: CallAnswer): SendOutcome {
 	if (answer.status === 0) {
-		return Told.Nothing;
+		return SendOutcome.NoResponse;
 	}
 	if (answer.fault !== '') {
-		return Told.Cut;
+		return SendOutcome.Incomplete;
 	}
-	return toldByOutcome.get(getOutcome(answer)) ?? Told.Untold;
+	return outcomesByHeader.get(getOutcome(answer)) ?? SendOutcome.MissingOutcome;
 }
 
-/** Makes the record of an answered send. */
+/** Creates the record of a send that was answered or has failed. */
 export function createSendRecord(
 	planned: PlannedSend,
 	answer: CallAnswer,
@@ -104,11 +104,11 @@
 ): SendRecord {
 	return {
 		...planned,
-		told: parseTold(answer),
+		told: parseSendOutcome(answer),
 		status: answer.status,
 		errorKind: getErrorKind(answer),
 		isExpected,
-		text: answer.body.length > longestTextBytes ? '' : getText(answer),
+		text: answer.body.length > maxTextBytes ? '' : getText(answer),
 		fault: answer.fault,
 		startMs,
 		tookMs: answer.tookMs,
--- a/src/prove/common/verdict.ts
+++ b/src/prove/common/verdict.ts
@@ -1,5 +1,5 @@
 /**
- * What a campaign found: a table for people and a verdict for programs.
+ * Formats the result of a campaign: tables for people and a verdict that is written as JSON.
  */
 
 import type { TableRenderer } from '../../demo/common/report';
@@ -7,24 +7,24 @@
 import type { Violation } from './invariants';
 import { Invariant } from './invariants';
 import type { SendRecord } from './sendRecord';
-import { CallKind, Told } from './sendRecord';
+import { CallKind, SendOutcome } from './sendRecord';
 
-/** Everything that a campaign hands over to be judged and shown. */
+/** The result of a campaign. */
 export interface CampaignResult {
 	readonly seed: number;
 	readonly isShort: boolean;
 	readonly tookMs: number;
 	readonly sends: readonly SendRecord[];
-	/** Runs counted by the plain services. */
+	/** Number of runs, summed over all calls and all services that count their runs. */
 	readonly runs: number;
 	readonly injected: readonly FaultKind[];
-	/** Time until each published manifest was in force at all reachable entries, in milliseconds. */
+	/** Time that each published manifest took to be in force at all reachable entries, in milliseconds. */
 	readonly spreadMs: readonly number[];
-	/** How often each invariant was put to the test beyond the ledgers' comparison. */
+	/** Violations recorded during the campaign and those found in the records at its end. */
 	readonly violations: readonly Violation[];
 }
 
-/** The verdict as one line of JSON tells it. */
+/** The summary that is printed as one line of JSON. */
 export interface Verdict {
 	readonly holds: boolean;
 	readonly seed: number;
@@ -51,24 +51,26 @@
 	};
 }
 
-/** Two tables: what callers were told by kind of call, and how each invariant fared. */
+/**
+ * Renders the number of sends by kind and reported outcome, the state of each invariant, and every violation.
+ */
 export function renderResult(result: CampaignResult, renderTable: TableRenderer): string {
-	const told = Object.values(Told);
+	const outcomes = Object.values(SendOutcome);
 	const callRows = Object.values(CallKind).map(kind => [
 		kind,
-		...told.map(what => String(countSends(result.sends, kind, what))),
+		...outcomes.map(outcome => String(countSends(result.sends, kind, outcome))),
 	]);
 	const invariantRows = Object.values(Invariant).map(invariant => {
 		const count = result.violations.filter(violation => violation.invariant === invariant).length;
 		return [count === 0 ? 'holds' : 'BROKEN', String(count), invariant];
 	});
 	return [
-		renderTable(['call', ...told], callRows),
+		renderTable(['call', ...outcomes], callRows),
 		renderTable(['', 'breaches', 'invariant'], invariantRows),
 		...result.violations.map(({ invariant, detail }) => `BROKEN: ${invariant}: ${detail}`),
 	].join('\n');
 }
 
-function countSends(sends: readonly SendRecord[], kind: CallKind, told: Told): number {
-	return sends.filter(send => send.kind === kind && send.told === told).length;
+function countSends(sends: readonly SendRecord[], kind: CallKind, outcome: SendOutcome): number {
+	return sends.filter(send => send.kind === kind && send.told === outcome).length;
 }
--- a/src/prove/node/campaign.ts
+++ b/src/prove/node/campaign.ts
@@ -1,5 +1,6 @@
 /**
- * One campaign: the phases in their order, and the comparison of the two views at the end.
+ * Runs the phases of a campaign in order, and checks at the end the callers' records against the targets'
+ * records.
  */
 
 import { SeededRandom } from '../../base/common/random';
@@ -8,46 +9,46 @@
 import { regionKeys } from '../common/calls';
 import type { PlannedFault } from '../common/faultSchedule';
 import { FaultKind, listMissing, planFaults } from '../common/faultSchedule';
-import { checkLedgers, Invariant } from '../common/invariants';
+import { checkRecords, Invariant } from '../common/invariants';
 import { Phase } from '../common/sendRecord';
 import type { CampaignResult } from '../common/verdict';
 import { CampaignCallers } from './campaignCallers';
-import { lanes } from './faults/lanes';
-import type { Field, IFault } from './field';
+import { faultSequences } from './faults/lanes';
+import type { CampaignContext, IFault } from './field';
 import { runReplacement } from './replacement';
 import { readRuns } from './runReader';
 
-/** What decides a campaign. */
+/** The parameters of a campaign. */
 export interface CampaignPlan {
 	readonly seed: number;
 	readonly isShort: boolean;
 }
 
-const calmMs = 2_500;
+const calmPhaseMs = 2_500;
 const calmDraftTokens = 30;
 const faultDraftTokens = 60;
-/** Above the time in which a caller's last copy can still reach a target. */
-const settleMs = 1_500;
-/** Keeps the random choices of the phases apart. */
+/** Longer than the time in which the last duplicate of a call can still reach a target. */
+const settlingMs = 1_500;
+/** Separates the random seeds of the phases and of the fault sequences. */
 const seedStride = 1_000;
 
-/** Runs a campaign on a deployment that is up. */
+/** Runs a campaign on a running deployment. */
 export class Campaign {
 	constructor(
-		private readonly field: Field,
+		private readonly context: CampaignContext,
 		private readonly plan: CampaignPlan,
 	) {}
 
 	async run(): Promise<CampaignResult> {
-		const { stage, log, manifests } = this.field;
+		const { stage, log, manifestMonitor } = this.context;
 		const startMs = stage.timers.getNow();
-		manifests.start();
-		await this.runCalmly();
-		await this.runFaults();
-		await runReplacement(this.field, this.plan);
-		await waitFor(stage.timers, settleMs);
+		manifestMonitor.start();
+		await this.runCalmPhase();
+		await this.runFaultPhase();
+		await runReplacement(this.context, this.plan);
+		await waitFor(stage.timers, settlingMs);
 		const runs = await readRuns(stage);
-		this.checkEnd();
+		this.checkFinalState();
 		return {
 			...this.plan,
 			tookMs: stage.timers.getNow() - startMs,
@@ -55,57 +56,63 @@
 			runs: runs.reduce((sum, record) => sum + record.runs, 0),
 			injected: log.injected,
 			spreadMs: log.spreadMs,
-			violations: [...log.violations, ...checkLedgers({ sends: log.sends, runs })],
+			violations: [...log.violations, ...checkRecords({ sends: log.sends, runs })],
 		};
 	}
 
-	private async runCalmly(): Promise<void> {
-		const { stage, log } = this.field;
+	private async runCalmPhase(): Promise<void> {
+		const { stage, log } = this.context;
 		const sender = new CallSender(stage, log, Phase.Calm);
 		const callers = new CampaignCallers(stage, sender, this.plan.seed);
 		callers.start(calmDraftTokens);
-		await waitFor(stage.timers, calmMs);
+		await waitFor(stage.timers, calmPhaseMs);
 		await callers.stop();
 	}
 
-	private async runFaults(): Promise<void> {
-		const { stage, sender } = this.field;
+	private async runFaultPhase(): Promise<void> {
+		const { stage, sender } = this.context;
 		const callers = new CampaignCallers(stage, sender, this.plan.seed + seedStride);
 		callers.start(faultDraftTokens);
-		await Promise.all(lanes.map((faults, index) => this.runLane(faults, index)));
+		await Promise.all(faultSequences.map((faults, index) => this.runSequence(faults, index)));
 		await callers.stop();
 	}
 
-	private async runLane(faults: readonly IFault[], lane: number): Promise<void> {
-		const random = new SeededRandom(this.plan.seed * seedStride + lane);
-		const kinds = faults.map(({ kind }) => kind).filter(kind => !this.isLeftToReplacement(kind));
+	private async runSequence(faults: readonly IFault[], index: number): Promise<void> {
+		const random = new SeededRandom(this.plan.seed * seedStride + index);
+		const kinds = faults.map(({ kind }) => kind).filter(kind => !this.isCoveredByReplacement(kind));
 		for (const planned of planFaults(random, kinds, this.plan.isShort)) {
 			await this.runFault(faults, planned);
 		}
 	}
 
-	/** A stop takes as long as several other faults; the short form has those of the replacement only. */
-	private isLeftToReplacement(kind: FaultKind): boolean {
+	/**
+	 * A stop takes as long as several other faults, so the short form stops entries only in the replacement
+	 * phase.
+	 */
+	private isCoveredByReplacement(kind: FaultKind): boolean {
 		return this.plan.isShort && kind === FaultKind.StopEntry;
 	}
 
 	private async runFault(faults: readonly IFault[], { kind, place }: PlannedFault): Promise<void> {
-		await faults.find(fault => fault.kind === kind)?.run(this.field, place);
+		await faults.find(fault => fault.kind === kind)?.run(this.context, place);
 	}
 
-	private checkEnd(): void {
-		const { log, manifests } = this.field;
-		const kinds: FaultKind[] = lanes.flat().map(({ kind }) => kind);
+	private checkFinalState(): void {
+		const { log, manifestMonitor } = this.context;
+		const kinds: FaultKind[] = faultSequences.flat().map(({ kind }) => kind);
 		for (const kind of listMissing(kinds, log.injected)) {
-			log.noteViolation(Invariant.EveryFaultInjected, kind);
+			log.recordViolation(Invariant.EveryFaultInjected, kind);
 		}
-		const behind = manifests.listBehind(manifests.getPublishedVersion(), this.field.stage.timers.getNow());
-		if (behind.length > 0 || manifests.countDigests() > 1) {
-			const detail = `at the end, ${manifests.countDigests()} documents; behind: ${behind.join(', ')}`;
-			log.noteViolation(Invariant.ManifestSpreads, detail);
+		const outdated = manifestMonitor.listOutdatedEntries(
+			manifestMonitor.getPublishedVersion(),
+			this.context.stage.timers.getNow(),
+		);
+		if (outdated.length > 0 || manifestMonitor.countDigests() > 1) {
+			const detail = `at the end, ${manifestMonitor.countDigests()} different manifests in force; outdated entries: ${outdated.join(', ')}`;
+			log.recordViolation(Invariant.ManifestPropagates, detail);
 		}
 		if (!regionKeys.every(region => log.sends.some(send => send.region === region))) {
-			log.noteViolation(Invariant.EveryFaultInjected, 'a region had no callers');
+			log.recordViolation(Invariant.EveryFaultInjected, 'a region had no callers');
 		}
 	}
 }
--- a/src/prove/node/campaignCallers.ts
+++ b/src/prove/node/campaignCallers.ts
@@ -1,23 +1,24 @@
 /**
- * The callers of a phase: for each region payers, readers, drafters and some that go astray.
+ * Starts and stops the callers of a phase: in each region callers that send payments, repeatable calls,
+ * drafts and misdirected calls.
  */
 
 import { SeededRandom } from '../../base/common/random';
 import type { Stage } from '../../demo/common/scene';
 import type { CallSender } from '../common/callSender';
-import type { CallerSurroundings, ICampaignCaller } from '../common/callers/campaignCaller';
+import type { CallerContext, ICampaignCaller } from '../common/callers/campaignCaller';
 import { runCaller } from '../common/callers/campaignCaller';
-import { Payer } from '../common/callers/payer';
-import { Drafter, MisdirectedCaller, Reader } from '../common/callers/plainCallers';
+import { PaymentCaller } from '../common/callers/payer';
+import { DraftCaller, MisdirectedCaller, RepeatableCaller } from '../common/callers/plainCallers';
 import type { RegionKey } from '../common/calls';
 import { regionKeys } from '../common/calls';
 
-type CallerMaker = (surroundings: CallerSurroundings) => ICampaignCaller;
+type CallerFactory = (callerContext: CallerContext) => ICampaignCaller;
 
-/** Callers of one phase, from their start until the last call has ended. */
+/** The callers of one phase. */
 export class CampaignCallers {
 	private isStopped = false;
-	private readonly ends: Promise<void>[] = [];
+	private readonly callerRuns: Promise<void>[] = [];
 
 	constructor(
 		private readonly stage: Stage,
@@ -25,27 +26,27 @@
 		private readonly seed: number,
 	) {}
 
-	/** @param draftTokens Length of the drafts. */
+	/** @param draftTokens Length of the drafts, in tokens. */
 	start(draftTokens: number): void {
 		for (const home of regionKeys) {
-			this.startCaller(`payer-${home}-1`, home, surroundings => new Payer(surroundings));
-			this.startCaller(`payer-${home}-2`, home, surroundings => new Payer(surroundings));
-			this.startCaller(`reader-${home}`, home, surroundings => new Reader(surroundings));
-			this.startCaller(`drafter-${home}`, home, surroundings => new Drafter(surroundings, draftTokens));
-			this.startCaller(`astray-${home}`, home, surroundings => new MisdirectedCaller(surroundings));
+			this.startCaller(`payer-${home}-1`, home, callerContext => new PaymentCaller(callerContext));
+			this.startCaller(`payer-${home}-2`, home, callerContext => new PaymentCaller(callerContext));
+			this.startCaller(`reader-${home}`, home, callerContext => new RepeatableCaller(callerContext));
+			this.startCaller(`drafter-${home}`, home, callerContext => new DraftCaller(callerContext, draftTokens));
+			this.startCaller(`astray-${home}`, home, callerContext => new MisdirectedCaller(callerContext));
 		}
 	}
 
-	startCaller(role: string, home: RegionKey, create: CallerMaker): void {
+	startCaller(role: string, home: RegionKey, create: CallerFactory): void {
 		const name = `${this.sender.phase}-${role}`;
-		const random = new SeededRandom(this.seed + this.ends.length);
-		const surroundings = { stage: this.stage, sender: this.sender, random, name, home };
-		this.ends.push(runCaller(create(surroundings), surroundings, () => this.isStopped));
+		const random = new SeededRandom(this.seed + this.callerRuns.length);
+		const callerContext = { stage: this.stage, sender: this.sender, random, name, home };
+		this.callerRuns.push(runCaller(create(callerContext), callerContext, () => this.isStopped));
 	}
 
-	/** Ends when every call in progress has ended. */
+	/** Stops all callers. Resolves when every call in progress has ended. */
 	async stop(): Promise<void> {
 		this.isStopped = true;
-		await Promise.all(this.ends);
+		await Promise.all(this.callerRuns);
 	}
 }
--- a/src/prove/node/faults/entryFaults.ts
+++ b/src/prove/node/faults/entryFaults.ts
@@ -1,92 +1,95 @@
 /**
- * Faults of one entry: it is killed, frozen for longer than a ticket lives, or told to stop under load.
+ * Faults of one entry: it is killed, frozen for longer than the lifetime of a ticket, or stopped under load.
  */
 
 import type { EntryAddresses } from '../../../demo/common/deploymentAddresses';
 import { waitFor } from '../../../demo/common/poll';
 import { isCleanEnd } from '../../../demo/node/fleet';
-import { ticketLifeMs } from '../../common/callers/payer';
+import { ticketLifetimeMs } from '../../common/callers/payer';
 import { FaultKind } from '../../common/faultSchedule';
 import { Invariant } from '../../common/invariants';
-import type { Field, IFault } from '../field';
-import { getAt } from '../field';
+import type { CampaignContext, IFault } from '../field';
+import { pickByIndex } from '../field';
 
-const deadMs = 300;
+const restartDelayMs = 300;
 const recoveryMs = 500;
-const frozenMs = ticketLifeMs + 1_200;
-/** Above the grace and the longest stream of a campaign; one that takes longer did not end by itself. */
-const stopLimitMs = 30_000;
+const freezeMs = ticketLifetimeMs + 1_200;
+/**
+ * Longer than the grace period and the longest stream of a campaign: an entry that is still running then
+ * counts as not ending by itself.
+ */
+const stopTimeoutMs = 30_000;
 
-/** Kills an entry and starts it anew. */
+/** Kills an entry and starts it again. */
 export class KillEntryFault implements IFault {
 	readonly kind = FaultKind.KillEntry;
 
-	async run(field: Field, place: number): Promise<void> {
-		const entry = getAt(field.stage.addresses.entries, place);
-		field.log.noteFault(this.kind, entry.instance);
-		await runDisturbed(field, entry, () => killAndRestart(field, entry));
-		await waitFor(field.stage.timers, recoveryMs);
+	async run(context: CampaignContext, place: number): Promise<void> {
+		const entry = pickByIndex(context.stage.addresses.entries, place);
+		context.log.recordFault(this.kind, entry.instance);
+		await runDisrupted(context, entry, () => killAndStartEntry(context, entry));
+		await waitFor(context.stage.timers, recoveryMs);
 	}
 }
 
-/** Freezes an entry until every ticket that it knew has expired, and wakes it. */
+/** Freezes an entry until every ticket issued before the freeze has expired, and resumes it. */
 export class FreezeEntryFault implements IFault {
 	readonly kind = FaultKind.FreezeEntry;
 
-	async run(field: Field, place: number): Promise<void> {
-		const entry = getAt(field.stage.addresses.entries, place);
-		field.log.noteFault(this.kind, entry.instance);
-		await runDisturbed(field, entry, async () => {
-			field.fleet.freeze(entry.instance);
-			await waitFor(field.stage.timers, frozenMs);
-			field.fleet.resume(entry.instance);
+	async run(context: CampaignContext, place: number): Promise<void> {
+		const entry = pickByIndex(context.stage.addresses.entries, place);
+		context.log.recordFault(this.kind, entry.instance);
+		await runDisrupted(context, entry, async () => {
+			context.fleet.freeze(entry.instance);
+			await waitFor(context.stage.timers, freezeMs);
+			context.fleet.resume(entry.instance);
 		});
-		await waitFor(field.stage.timers, recoveryMs);
+		await waitFor(context.stage.timers, recoveryMs);
 	}
 }
 
-/** Asks an entry to stop while it is in use, and starts it anew. */
+/** Stops an entry gracefully while it is in use, and starts it again. */
 export class StopEntryFault implements IFault {
 	readonly kind = FaultKind.StopEntry;
 
-	async run(field: Field, place: number): Promise<void> {
-		const entry = getAt(field.stage.addresses.entries, place);
-		field.log.noteFault(this.kind, entry.instance);
-		await renewEntry(field, entry);
+	async run(context: CampaignContext, place: number): Promise<void> {
+		const entry = pickByIndex(context.stage.addresses.entries, place);
+		context.log.recordFault(this.kind, entry.instance);
+		await stopAndStartEntry(context, entry);
 	}
 }
 
-/** Stops an entry as operators do, and starts it anew once it has ended. */
-export async function renewEntry(field: Field, entry: EntryAddresses): Promise<void> {
-	await runDisturbed(field, entry, async () => {
-		const report = await field.fleet.stop(entry.instance, stopLimitMs);
+/** Stops an entry gracefully, as operators do, and starts it again once it has exited. */
+export async function stopAndStartEntry(context: CampaignContext, entry: EntryAddresses): Promise<void> {
+	await runDisrupted(context, entry, async () => {
+		const report = await context.fleet.stop(entry.instance, stopTimeoutMs);
 		if (!isCleanEnd(report.end)) {
-			const how = report.end === undefined ? 'was killed' : `code ${String(report.end.code)}`;
-			field.log.noteViolation(Invariant.GracefulStop, `${entry.instance} did not end by itself: ${how}`);
+			const exit = report.end === undefined ? 'was killed' : `code ${String(report.end.code)}`;
+			context.log.recordViolation(Invariant.GracefulStop, `${entry.instance} did not end by itself: ${exit}`);
 		}
-		await startAgain(field, entry);
+		await startEntry(context, entry);
 	});
 }
 
-/** Ends an entry at once and starts it anew. */
-export async function killAndRestart(field: Field, entry: EntryAddresses): Promise<void> {
-	await field.fleet.kill(entry.instance);
-	await waitFor(field.stage.timers, deadMs);
-	await startAgain(field, entry);
+/** Kills an entry without a graceful stop, and starts it again. */
+export async function killAndStartEntry(context: CampaignContext, entry: EntryAddresses): Promise<void> {
+	await context.fleet.kill(entry.instance);
+	await waitFor(context.stage.timers, restartDelayMs);
+	await startEntry(context, entry);
 }
 
-/** Marks an entry as out of reach for as long as something is done to it. */
-export async function runDisturbed(
-	field: Field,
+/** Marks an entry as disrupted while `run` is in progress. */
+export async function runDisrupted(
+	context: CampaignContext,
 	entry: EntryAddresses,
 	run: () => Promise<void>,
 ): Promise<void> {
-	field.disturbances.begin(entry.instance);
+	context.disruptions.begin(entry.instance);
 	await run();
-	field.disturbances.end(entry.instance, field.stage.timers.getNow());
+	context.disruptions.end(entry.instance, context.stage.timers.getNow());
 }
 
-async function startAgain(field: Field, entry: EntryAddresses): Promise<void> {
-	await field.fleet.startAgain(entry.instance);
-	await field.deployment.waitForReady(entry.instance);
+async function startEntry(context: CampaignContext, entry: EntryAddresses): Promise<void> {
+	await context.fleet.startAgain(entry.instance);
+	await context.deployment.waitForReady(entry.instance);
 }
--- a/src/prove/node/faults/lanes.ts
+++ b/src/prove/node/faults/lanes.ts
@@ -1,26 +1,26 @@
 /**
- * Faults that run beside one another. Those of one lane act on the same things and follow one another;
- * lanes overlap as the seed has it.
+ * The sequences of faults that a campaign runs in parallel. Faults of one sequence affect the same kind of
+ * component and run one after the other. Which faults of different sequences overlap depends on the seed.
  */
 
 import type { IFault } from '../field';
 import { FreezeEntryFault, KillEntryFault, StopEntryFault } from './entryFaults';
 import { CutLinksFault, IsolateRegionFault, SilenceLinksFault } from './linkFaults';
 import {
-	createSwitchedPlatformFaults,
-	OperatorsRaceFault,
-	PlatformGoesBackFault,
-	TargetLeavesByManifestFault,
+	ConcurrentPublicationsFault,
+	createPlatformSettingFaults,
+	PlatformServesOldVersionFault,
+	TargetLeavingInManifestFault,
 } from './platformFaults';
 import {
 	CrashingRequestFault,
-	createSwitchedFaults,
+	createTargetSettingFaults,
 	SilenceTargetFault,
-	TargetLeavesByWordFault,
+	TargetReportsLeavingFault,
 } from './targetFaults';
 
-/** Entries and the links between them. */
-const entryLane: readonly IFault[] = [
+/** Faults of entries and of the links between them. */
+const entryFaults: readonly IFault[] = [
 	new KillEntryFault(),
 	new FreezeEntryFault(),
 	new StopEntryFault(),
@@ -29,19 +29,19 @@
 	new IsolateRegionFault(),
 ];
 
-const targetLane: readonly IFault[] = [
-	...createSwitchedFaults(),
+const targetFaults: readonly IFault[] = [
+	...createTargetSettingFaults(),
 	new SilenceTargetFault(),
-	new TargetLeavesByWordFault(),
+	new TargetReportsLeavingFault(),
 	new CrashingRequestFault(),
 ];
 
-/** The platform and what is published there. */
-const platformLane: readonly IFault[] = [
-	...createSwitchedPlatformFaults(),
-	new PlatformGoesBackFault(),
-	new OperatorsRaceFault(),
-	new TargetLeavesByManifestFault(),
+/** Faults of the platform and of the manifests that are published there. */
+const platformFaults: readonly IFault[] = [
+	...createPlatformSettingFaults(),
+	new PlatformServesOldVersionFault(),
+	new ConcurrentPublicationsFault(),
+	new TargetLeavingInManifestFault(),
 ];
 
-export const lanes: readonly (readonly IFault[])[] = [entryLane, targetLane, platformLane];
+export const faultSequences: readonly (readonly IFault[])[] = [entryFaults, targetFaults, platformFaults];
--- a/src/prove/node/faults/linkFaults.ts
+++ b/src/prove/node/faults/linkFaults.ts
@@ -1,6 +1,7 @@
 /**
- * Faults of the links between regions: all links of one region are cut, or their open connections fall
- * silent; or the region is cut off from the others and from the platform, with an entry killed inside.
+ * Faults of the links between regions: all links of one region are cut, or their open connections stop
+ * carrying data, or the region is isolated from the other regions and the platform while one of its entries
+ * is killed.
  */
 
 import type { EntryAddresses, LinkAddresses } from '../../../demo/common/deploymentAddresses';
@@ -10,101 +11,108 @@
 import { createCheck, regionKeys } from '../../common/calls';
 import { FaultKind } from '../../common/faultSchedule';
 import { Invariant } from '../../common/invariants';
-import { Told } from '../../common/sendRecord';
-import type { Field, IFault } from '../field';
-import { getAt } from '../field';
+import { SendOutcome } from '../../common/sendRecord';
+import type { CampaignContext, IFault } from '../field';
+import { pickByIndex } from '../field';
 import { getPlatformLink } from '../preparedExample';
-import { killAndRestart } from './entryFaults';
+import { killAndStartEntry } from './entryFaults';
 
-const cutMs = 1_500;
-const servesWithinMs = 5_000;
-/** How links are cut; the stand-in knows each by this name. */
-const cutManners = ['black-hole', 'reset'] as const;
+const faultMs = 1_500;
+const isolatedAnswerTimeoutMs = 5_000;
+/** The ways in which links are cut, by their names in the settings of the simulated links. */
+const cutModes = ['black-hole', 'reset'] as const;
 
-/** Cuts a region off from the other regions; the platform is still there. */
+/** Cuts a region off from the other regions. The platform stays reachable. */
 export class CutLinksFault implements IFault {
 	readonly kind = FaultKind.CutLinks;
 
-	async run(field: Field, place: number): Promise<void> {
-		const region = getAt(regionKeys, place);
-		const cut = getAt(cutManners, field.random.pickBelow(cutManners.length));
-		field.log.noteFault(this.kind, `${region}, ${cut}`);
-		await setLinks(field, listRegionLinks(field, region), { cut });
-		await waitFor(field.stage.timers, cutMs);
-		await setLinks(field, listRegionLinks(field, region), { cut: 'none' });
+	async run(context: CampaignContext, place: number): Promise<void> {
+		const region = pickByIndex(regionKeys, place);
+		const cut = pickByIndex(cutModes, context.random.pickBelow(cutModes.length));
+		context.log.recordFault(this.kind, `${region}, ${cut}`);
+		await setLinks(context, listRegionLinks(context, region), { cut });
+		await waitFor(context.stage.timers, faultMs);
+		await setLinks(context, listRegionLinks(context, region), { cut: 'none' });
 	}
 }
 
-/** Silences, for good, the connections that are open between a region and the others. */
+/** Permanently silences the open connections between a region and the other regions. */
 export class SilenceLinksFault implements IFault {
 	readonly kind = FaultKind.SilenceLinks;
 
-	async run(field: Field, place: number): Promise<void> {
-		const region = getAt(regionKeys, place);
-		field.log.noteFault(this.kind, region);
-		await setLinks(field, listRegionLinks(field, region), { silenceOpen: true });
-		await waitFor(field.stage.timers, cutMs);
+	async run(context: CampaignContext, place: number): Promise<void> {
+		const region = pickByIndex(regionKeys, place);
+		context.log.recordFault(this.kind, region);
+		await setLinks(context, listRegionLinks(context, region), { silenceOpen: true });
+		await waitFor(context.stage.timers, faultMs);
 	}
 }
 
-/** Leaves a region alone with itself, kills one of its entries and starts it anew inside the cut. */
+/**
+ * Cuts a region off from the other regions and the platform, and meanwhile kills and restarts one of its
+ * entries.
+ */
 export class IsolateRegionFault implements IFault {
 	readonly kind = FaultKind.IsolateRegion;
 
-	async run(field: Field, place: number): Promise<void> {
-		const region = getAt(regionKeys, place);
-		const entries = listEntriesOf(field.stage.addresses, region);
-		const cut = getAt(cutManners, field.random.pickBelow(cutManners.length));
-		const killed = getAt(entries, field.random.pickBelow(entries.length));
-		field.log.noteFault(this.kind, `${region}, ${cut}, ${killed.instance} killed inside`);
-		const links = [...listRegionLinks(field, region), ...listLinksNamed(field, getPlatformLink(region))];
+	async run(context: CampaignContext, place: number): Promise<void> {
+		const region = pickByIndex(regionKeys, place);
+		const entries = listEntriesOf(context.stage.addresses, region);
+		const cut = pickByIndex(cutModes, context.random.pickBelow(cutModes.length));
+		const killed = pickByIndex(entries, context.random.pickBelow(entries.length));
+		context.log.recordFault(this.kind, `${region}, ${cut}, ${killed.instance} killed while isolated`);
+		const links = [...listRegionLinks(context, region), ...findLinks(context, getPlatformLink(region))];
 		for (const entry of entries) {
-			field.disturbances.begin(entry.instance);
+			context.disruptions.begin(entry.instance);
 		}
-		await setLinks(field, links, { cut });
-		await this.checkServed(field, region, entries);
-		await killAndRestart(field, killed);
-		await this.checkServed(field, region, entries);
-		await setLinks(field, links, { cut: 'none' });
+		await setLinks(context, links, { cut });
+		await this.checkEntriesAnswer(context, region, entries);
+		await killAndStartEntry(context, killed);
+		await this.checkEntriesAnswer(context, region, entries);
+		await setLinks(context, links, { cut: 'none' });
 		for (const entry of entries) {
-			field.disturbances.end(entry.instance, field.stage.timers.getNow());
+			context.disruptions.end(entry.instance, context.stage.timers.getNow());
 		}
 	}
 
-	/** Every entry of the region answers a call of the region's own. */
-	private async checkServed(
-		field: Field,
+	/** Checks that every entry of the region answers a call whose home region this is. */
+	private async checkEntriesAnswer(
+		context: CampaignContext,
 		region: RegionKey,
 		entries: readonly EntryAddresses[],
 	): Promise<void> {
 		await Promise.all(
 			entries.map(async entry => {
 				let number = 0;
-				const isServed = await waitUntil(field.stage.timers, servesWithinMs, async () => {
+				const isAnswered = await waitUntil(context.stage.timers, isolatedAnswerTimeoutMs, async () => {
 					number++;
-					const callId = `isolated-${entry.instance}-${field.log.sends.length}-${number}`;
-					const { record } = await field.sender.send(createCheck(callId, region), entry);
-					return record.told === Told.Answered;
+					const callId = `isolated-${entry.instance}-${context.log.sends.length}-${number}`;
+					const { record } = await context.sender.send(createCheck(callId, region), entry);
+					return record.told === SendOutcome.Answered;
 				});
-				if (!isServed) {
-					field.log.noteViolation(Invariant.IsolatedRegionServes, entry.instance);
+				if (!isAnswered) {
+					context.log.recordViolation(Invariant.IsolatedRegionAnswers, entry.instance);
 				}
 			}),
 		);
 	}
 }
 
-async function setLinks(field: Field, links: readonly LinkAddresses[], patch: object): Promise<void> {
-	await Promise.all(links.map(({ admin, name }) => field.stage.admin.setFaults(admin, name, patch)));
+async function setLinks(
+	context: CampaignContext,
+	links: readonly LinkAddresses[],
+	patch: object,
+): Promise<void> {
+	await Promise.all(links.map(({ admin, name }) => context.stage.admin.setFaults(admin, name, patch)));
 }
 
-/** The links that lead from a region to another or back. */
-function listRegionLinks({ stage }: Field, region: string): LinkAddresses[] {
+/** The links between a region and the other regions, in both directions. */
+function listRegionLinks({ stage }: CampaignContext, region: string): LinkAddresses[] {
 	return stage.addresses.links.filter(
 		({ name }) => name.startsWith(`${region}-to-entry-`) || name.includes(`-to-entry-${region}`),
 	);
 }
 
-function listLinksNamed({ stage }: Field, wanted: string): LinkAddresses[] {
-	return stage.addresses.links.filter(({ name }) => name === wanted);
+function findLinks({ stage }: CampaignContext, linkName: string): LinkAddresses[] {
+	return stage.addresses.links.filter(({ name }) => name === linkName);
 }
--- a/src/prove/node/faults/platformFaults.ts
+++ b/src/prove/node/faults/platformFaults.ts
@@ -1,6 +1,6 @@
 /**
- * Faults of the platform and of the operators' pipelines. Each ends with a new manifest, which must then
- * come into force at every reachable entry.
+ * Faults of the platform and of the operators' pipelines. Each ends by publishing a new manifest, which must
+ * then be in force at every reachable entry in time.
  */
 
 import { listTargetsOf } from '../../../demo/common/deploymentAddresses';
@@ -9,99 +9,101 @@
 import type { Manifest } from '../../../core/manifest/common/manifest';
 import { TargetIntent } from '../../../core/manifest/common/manifest';
 import { FaultKind } from '../../common/faultSchedule';
-import type { Field, IFault } from '../field';
-import { getAt } from '../field';
-import { checkNoNewWork } from './targetFaults';
+import type { CampaignContext, IFault } from '../field';
+import { pickByIndex } from '../field';
+import { checkNoNewRequests } from './targetFaults';
 
 const faultMs = 1_500;
 
-/** Switches one fault of the platform on for a while. */
-export class SwitchedPlatformFault implements IFault {
+/** Enables one fault setting of the simulated platform for a while. */
+export class PlatformSettingFault implements IFault {
 	constructor(
 		readonly kind: FaultKind,
-		private readonly switchedOn: object,
-		private readonly switchedOff: object,
+		private readonly faultSettings: object,
+		private readonly normalSettings: object,
 	) {}
 
-	async run(field: Field): Promise<void> {
-		field.log.noteFault(this.kind, 'platform');
-		await setPlatform(field, this.switchedOn);
-		await waitFor(field.stage.timers, faultMs);
-		await setPlatform(field, this.switchedOff);
-		await field.manifests.putAndWait(field.stage.manifest);
+	async run(context: CampaignContext): Promise<void> {
+		context.log.recordFault(this.kind, 'platform');
+		await setPlatform(context, this.faultSettings);
+		await waitFor(context.stage.timers, faultMs);
+		await setPlatform(context, this.normalSettings);
+		await context.manifestMonitor.putAndWait(context.stage.manifest);
 	}
 }
 
-/** The faults that one switch of the platform brings about. */
-export function createSwitchedPlatformFaults(): IFault[] {
+/** Creates the faults that consist of one setting of the simulated platform. */
+export function createPlatformSettingFaults(): IFault[] {
 	return [
-		new SwitchedPlatformFault(FaultKind.PlatformDown, { down: true }, { down: false }),
-		new SwitchedPlatformFault(FaultKind.PlatformSilent, { silent: true }, { silent: false }),
+		new PlatformSettingFault(FaultKind.PlatformDown, { down: true }, { down: false }),
+		new PlatformSettingFault(FaultKind.PlatformSilent, { silent: true }, { silent: false }),
 	];
 }
 
-/** The platform serves an older version than before, first by being stale, then as if restored from a copy. */
-export class PlatformGoesBackFault implements IFault {
-	readonly kind = FaultKind.PlatformGoesBack;
+/**
+ * The platform serves an older version than before: first a stale read, then as if restored from a backup.
+ */
+export class PlatformServesOldVersionFault implements IFault {
+	readonly kind = FaultKind.PlatformServesOldVersion;
 
-	async run(field: Field): Promise<void> {
-		const { stage, manifests, log } = field;
-		log.noteFault(this.kind, 'platform');
-		const newest = await manifests.put(withWeight(stage.manifest, 2));
-		await setPlatform(field, { staleVersion: newest - 1 });
+	async run(context: CampaignContext): Promise<void> {
+		const { stage, manifestMonitor, log } = context;
+		log.recordFault(this.kind, 'platform');
+		const newest = await manifestMonitor.put(withOrganisationWeight(stage.manifest, 2));
+		await setPlatform(context, { staleVersion: newest - 1 });
 		await waitFor(stage.timers, faultMs);
-		await setPlatform(field, { staleVersion: null });
-		await manifests.put(withWeight(stage.manifest, 3), newest - 1);
+		await setPlatform(context, { staleVersion: null });
+		await manifestMonitor.put(withOrganisationWeight(stage.manifest, 3), newest - 1);
 		await waitFor(stage.timers, faultMs);
-		await manifests.putAndWait(stage.manifest);
+		await manifestMonitor.putAndWait(stage.manifest);
 	}
 }
 
-/** Two pipelines publish different documents under one version. */
-export class OperatorsRaceFault implements IFault {
-	readonly kind = FaultKind.OperatorsRace;
+/** Two pipelines publish different manifests under one version. */
+export class ConcurrentPublicationsFault implements IFault {
+	readonly kind = FaultKind.ConcurrentPublications;
 
-	async run(field: Field): Promise<void> {
-		const { stage, manifests, log } = field;
-		const version = manifests.getPublishedVersion() + 1;
-		log.noteFault(this.kind, `version ${version}`);
+	async run(context: CampaignContext): Promise<void> {
+		const { stage, manifestMonitor, log } = context;
+		const version = manifestMonitor.getPublishedVersion() + 1;
+		log.recordFault(this.kind, `version ${version}`);
 		await Promise.all([
-			manifests.put(withWeight(stage.manifest, 2), version),
-			manifests.put(withWeight(stage.manifest, 3), version),
+			manifestMonitor.put(withOrganisationWeight(stage.manifest, 2), version),
+			manifestMonitor.put(withOrganisationWeight(stage.manifest, 3), version),
 		]);
 		await waitFor(stage.timers, faultMs);
-		await manifests.putAndWait(stage.manifest);
+		await manifestMonitor.putAndWait(stage.manifest);
 	}
 }
 
-/** A manifest says that an engine is leaving. */
-export class TargetLeavesByManifestFault implements IFault {
-	readonly kind = FaultKind.TargetLeavesByManifest;
+/** A manifest marks an inference engine as leaving. */
+export class TargetLeavingInManifestFault implements IFault {
+	readonly kind = FaultKind.TargetLeavingInManifest;
 
-	async run(field: Field, place: number): Promise<void> {
-		const { stage, manifests, log } = field;
-		const target = getAt(listTargetsOf(stage.addresses, services.assistant, regions.kingston), place);
-		log.noteFault(this.kind, target.id);
-		await manifests.putAndWait(withLeaving(stage.manifest, [target.id]));
-		await checkNoNewWork(field, target);
-		await manifests.putAndWait(stage.manifest);
+	async run(context: CampaignContext, place: number): Promise<void> {
+		const { stage, manifestMonitor, log } = context;
+		const target = pickByIndex(listTargetsOf(stage.addresses, services.assistant, regions.kingston), place);
+		log.recordFault(this.kind, target.id);
+		await manifestMonitor.putAndWait(withLeavingTargets(stage.manifest, [target.id]));
+		await checkNoNewRequests(context, target);
+		await manifestMonitor.putAndWait(stage.manifest);
 	}
 }
 
-/** The manifest with some targets leaving. */
-export function withLeaving(manifest: Manifest, ids: readonly string[]): Manifest {
+/** Returns the manifest with the given targets marked as leaving. */
+export function withLeavingTargets(manifest: Manifest, ids: readonly string[]): Manifest {
 	const targets = manifest.targets.map(target =>
 		ids.includes(target.id) ? { ...target, intent: TargetIntent.Leaving } : target,
 	);
 	return { ...manifest, targets };
 }
 
-/** The manifest as another document, which changes nothing that a campaign judges. */
-function withWeight(manifest: Manifest, weight: number): Manifest {
+/** Returns a different manifest, whose changed organisation weights affect no invariant of a campaign. */
+function withOrganisationWeight(manifest: Manifest, weight: number): Manifest {
 	const organisations = manifest.organisations.map(organisation => ({ ...organisation, weight }));
 	return { ...manifest, organisations };
 }
 
-async function setPlatform({ stage }: Field, patch: object): Promise<void> {
+async function setPlatform({ stage }: CampaignContext, patch: object): Promise<void> {
 	await stage.admin.setFaults(stage.addresses.platformAdmin, 'platform', patch);
 }
--- a/src/prove/node/faults/targetFaults.ts
+++ b/src/prove/node/faults/targetFaults.ts
@@ -1,6 +1,7 @@
 /**
- * Faults of one target: its open connections fall silent, it dies in the middle of answers, refuses work,
- * answers with another attempt's id, or leaves by its own word.
+ * Faults of one target: its open connections stop carrying data, it sends no answers, resets connections in
+ * the middle of answers, refuses requests, answers with the id of another attempt, reports that it is
+ * leaving, or crashes on a request.
  */
 
 import type { TargetAddresses } from '../../../demo/common/deploymentAddresses';
@@ -8,163 +9,170 @@
 import { regions, services } from '../../../demo/common/names';
 import { waitFor, waitUntil } from '../../../demo/common/poll';
 import { createCrash, createDraft, regionKeys } from '../../common/calls';
-import { pickOne } from '../../common/callers/campaignCaller';
+import { pickRandom } from '../../common/callers/campaignCaller';
 import { FaultKind } from '../../common/faultSchedule';
 import { Invariant } from '../../common/invariants';
-import type { Field, IFault } from '../field';
-import { getAt } from '../field';
+import type { CampaignContext, IFault } from '../field';
+import { pickByIndex } from '../field';
 import { targetLinks } from '../preparedExample';
 
 const faultMs = 1_200;
-/** Bytes of an answer after which a target dies; less than any answer of a campaign. */
-const bytesBeforeDeath = 10;
+/** Bytes of an answer after which a target resets the connection. Less than any answer of a campaign has. */
+const bytesBeforeReset = 10;
 
-/** Switches one fault of a target on for a while. */
-export class SwitchedTargetFault implements IFault {
+/** Enables one fault setting of a simulated target for a while. */
+export class TargetSettingFault implements IFault {
 	constructor(
 		readonly kind: FaultKind,
-		private readonly switchedOn: object,
-		private readonly switchedOff: object,
+		private readonly faultSettings: object,
+		private readonly normalSettings: object,
 	) {}
 
-	async run(field: Field, place: number): Promise<void> {
-		const { admin, id } = getAt(field.stage.addresses.targets, place);
-		field.log.noteFault(this.kind, id);
-		await field.stage.admin.setFaults(admin, id, this.switchedOn);
-		await waitFor(field.stage.timers, faultMs);
-		await field.stage.admin.setFaults(admin, id, this.switchedOff);
+	async run(context: CampaignContext, place: number): Promise<void> {
+		const { admin, id } = pickByIndex(context.stage.addresses.targets, place);
+		context.log.recordFault(this.kind, id);
+		await context.stage.admin.setFaults(admin, id, this.faultSettings);
+		await waitFor(context.stage.timers, faultMs);
+		await context.stage.admin.setFaults(admin, id, this.normalSettings);
 	}
 }
 
-/** The faults that one switch of a target brings about. */
-export function createSwitchedFaults(): IFault[] {
+/** Creates the faults that consist of one setting of a simulated target. */
+export function createTargetSettingFaults(): IFault[] {
 	return [
-		new SwitchedTargetFault(
+		new TargetSettingFault(
 			FaultKind.TargetDiesMidAnswer,
-			{ resetAfterBytes: bytesBeforeDeath },
+			{ resetAfterBytes: bytesBeforeReset },
 			{ resetAfterBytes: null },
 		),
-		new SwitchedTargetFault(FaultKind.TargetRefuses, { refuseUnrun: true }, { refuseUnrun: false }),
-		new SwitchedTargetFault(
-			FaultKind.TargetCrossesAnswers,
+		new TargetSettingFault(FaultKind.TargetRefuses, { refuseUnrun: true }, { refuseUnrun: false }),
+		new TargetSettingFault(
+			FaultKind.TargetAnswersWrongAttempt,
 			{ foreignAttempt: true },
 			{ foreignAttempt: false },
 		),
-		new SwitchedTargetFault(FaultKind.TargetSilent, { silentBeforeHead: true }, { silentBeforeHead: false }),
+		new TargetSettingFault(FaultKind.TargetSilent, { silentBeforeHead: true }, { silentBeforeHead: false }),
 	];
 }
 
-/** Silences, for good, the connections open to a target, while new ones work. */
+/** Permanently silences the open connections to a target. New connections work. */
 export class SilenceTargetFault implements IFault {
 	readonly kind = FaultKind.SilenceTarget;
 
-	async run(field: Field, place: number): Promise<void> {
-		const { name } = getAt(targetLinks, place);
-		field.log.noteFault(this.kind, name);
-		const links = field.stage.addresses.links.filter(link => link.name === name);
+	async run(context: CampaignContext, place: number): Promise<void> {
+		const { name } = pickByIndex(targetLinks, place);
+		context.log.recordFault(this.kind, name);
+		const links = context.stage.addresses.links.filter(link => link.name === name);
 		for (const { admin } of links) {
-			await field.stage.admin.setFaults(admin, name, { silenceOpen: true });
+			await context.stage.admin.setFaults(admin, name, { silenceOpen: true });
 		}
-		await waitFor(field.stage.timers, faultMs);
+		await waitFor(context.stage.timers, faultMs);
 	}
 }
 
-const firstRefusalWithinMs = 2_500;
-const quietAfterMs = 3_000;
-const observedMs = 2_000;
+const firstRefusalTimeoutMs = 2_500;
+/** Longest time until entries stop sending requests to a leaving target. */
+const maxLeavingNoticeMs = 3_000;
+const observationMs = 2_000;
 const leavingDraftTokens = 20;
 
 /**
- * An engine says that it is leaving, and goes on listening. Other faults may keep work away from an engine,
- * and one that is asked nothing can tell nobody; then the next engine says it in its place.
+ * An inference engine refuses requests because it is leaving, and keeps listening. Other faults may keep
+ * requests away from an engine, which then has no request to refuse: in that case the next engine is tried.
  */
-export class TargetLeavesByWordFault implements IFault {
-	readonly kind = FaultKind.TargetLeavesByWord;
+export class TargetReportsLeavingFault implements IFault {
+	readonly kind = FaultKind.TargetReportsLeaving;
 
-	async run(field: Field, place: number): Promise<void> {
-		const engines = field.stage.addresses.targets.filter(({ service }) => service === services.assistant);
+	async run(context: CampaignContext, place: number): Promise<void> {
+		const engines = context.stage.addresses.targets.filter(({ service }) => service === services.assistant);
 		for (let step = 0; step < engines.length; step++) {
-			if (await this.runAt(field, getAt(engines, place + step))) {
+			if (await this.runAtTarget(context, pickByIndex(engines, place + step))) {
 				return;
 			}
 		}
-		field.log.noteViolation(Invariant.EveryFaultInjected, `${this.kind}: no engine was asked`);
+		context.log.recordViolation(Invariant.EveryFaultInjected, `${this.kind}: no engine refused a request`);
 	}
 
-	/** Gives whether the engine could tell anybody. */
-	private async runAt(field: Field, target: TargetAddresses): Promise<boolean> {
+	/** Returns whether the engine has refused a request, and so reported that it is leaving. */
+	private async runAtTarget(context: CampaignContext, target: TargetAddresses): Promise<boolean> {
 		const { admin, id } = target;
-		await field.stage.admin.setFaults(admin, id, { leaving: true });
-		const isHeard = await this.waitForFirstWord(field, target);
-		if (isHeard) {
-			field.log.noteFault(this.kind, id);
-			await checkNoNewWork(field, target);
+		await context.stage.admin.setFaults(admin, id, { leaving: true });
+		const hasRefused = await this.waitForFirstRefusal(context, target);
+		if (hasRefused) {
+			context.log.recordFault(this.kind, id);
+			await checkNoNewRequests(context, target);
 		}
-		await field.stage.admin.setFaults(admin, id, { leaving: false });
-		return isHeard;
+		await context.stage.admin.setFaults(admin, id, { leaving: false });
+		return hasRefused;
 	}
 
-	private async waitForFirstWord(field: Field, { admin, id, region }: TargetAddresses): Promise<boolean> {
-		const { stage, sender } = field;
+	private async waitForFirstRefusal(
+		context: CampaignContext,
+		{ admin, id, region }: TargetAddresses,
+	): Promise<boolean> {
+		const { stage, sender } = context;
 		const home = regionKeys.find(key => key === region) ?? 'kingston';
 		const before = await stage.admin.readCounter(admin, id, 'refusedUnrun');
 		let number = 0;
-		return waitUntil(stage.timers, firstRefusalWithinMs, async () => {
+		return waitUntil(stage.timers, firstRefusalTimeoutMs, async () => {
 			number++;
-			const entry = pickOne(field.random, listEntriesOf(stage.addresses, region));
+			const entry = pickRandom(context.random, listEntriesOf(stage.addresses, region));
 			await sender.send(createDraft(`leaving-${id}-${number}`, home, leavingDraftTokens), entry);
 			return (await stage.admin.readCounter(admin, id, 'refusedUnrun')) > before;
 		});
 	}
 }
 
-/** After the time that a sign may take, the target gets no request any more. */
-export async function checkNoNewWork(field: Field, { admin, id }: TargetAddresses): Promise<void> {
-	const { stage, log } = field;
-	await waitFor(stage.timers, quietAfterMs);
+/** Checks that a leaving target gets no more requests once entries have had time to react. */
+export async function checkNoNewRequests(
+	context: CampaignContext,
+	{ admin, id }: TargetAddresses,
+): Promise<void> {
+	const { stage, log } = context;
+	await waitFor(stage.timers, maxLeavingNoticeMs);
 	const before = await stage.admin.readCounter(admin, id, 'requests');
-	await waitFor(stage.timers, observedMs);
+	await waitFor(stage.timers, observationMs);
 	const requests = (await stage.admin.readCounter(admin, id, 'requests')) - before;
 	if (requests > 0) {
-		log.noteViolation(Invariant.LeavingTargets, `${id} got ${requests} requests in ${observedMs} ms`);
+		log.recordViolation(Invariant.LeavingTargets, `${id} got ${requests} requests in ${observationMs} ms`);
 	}
 }
 
 const crashSends = 6;
 const crashPauseMs = 300;
-const mostDeaths = 2;
+const maxCrashes = 2;
 
-/** A request that kills each engine that runs it; its caller sends it to one entry after the other. */
+/** A request that crashes each inference engine that runs it, sent to one entry after the other. */
 export class CrashingRequestFault implements IFault {
 	readonly kind = FaultKind.CrashingRequest;
 
-	async run(field: Field): Promise<void> {
-		const { stage, log, sender } = field;
-		log.noteFault(this.kind, regions.kingston);
+	async run(context: CampaignContext): Promise<void> {
+		const { stage, log, sender } = context;
+		log.recordFault(this.kind, regions.kingston);
 		const entries = listEntriesOf(stage.addresses, regions.kingston);
-		const before = await countDeaths(field);
+		const before = await countCrashes(context);
 		for (let send = 0; send < crashSends; send++) {
-			await sender.send(createCrash('crashing', 'kingston'), getAt(entries, send));
+			await sender.send(createCrash('crashing', 'kingston'), pickByIndex(entries, send));
 			await waitFor(stage.timers, crashPauseMs);
 		}
-		const after = await countDeaths(field);
-		for (const [region, deaths] of after) {
-			const more = deaths - (before.get(region) ?? 0);
-			if (more > mostDeaths) {
-				log.noteViolation(Invariant.CrashesContained, `${more} deaths in ${region}`);
+		const after = await countCrashes(context);
+		for (const [region, crashes] of after) {
+			const newCrashes = crashes - (before.get(region) ?? 0);
+			if (newCrashes > maxCrashes) {
+				log.recordViolation(Invariant.CrashesContained, `${newCrashes} crashes in ${region}`);
 			}
 		}
 	}
 }
 
-/** Deaths of engines so far, by region. */
-async function countDeaths({ stage }: Field): Promise<ReadonlyMap<string, number>> {
-	const deaths = new Map<string, number>();
+/** Crashes of inference engines since the start, by region. */
+async function countCrashes({ stage }: CampaignContext): Promise<ReadonlyMap<string, number>> {
+	const crashes = new Map<string, number>();
 	for (const { admin, id, region, service } of stage.addresses.targets) {
 		if (service === services.assistant) {
 			const count = await stage.admin.readCounter(admin, id, 'crashes');
-			deaths.set(region, (deaths.get(region) ?? 0) + count);
+			crashes.set(region, (crashes.get(region) ?? 0) + count);
 		}
 	}
-	return deaths;
+	return crashes;
 }
--- a/src/prove/node/field.ts
+++ b/src/prove/node/field.ts
@@ -1,5 +1,5 @@
 /**
- * What the faults of a campaign act on.
+ * What a campaign and its faults act on, and the interface of a fault.
  */
 
 import type { IRandom } from '../../base/common/random';
@@ -8,39 +8,40 @@
 import type { Stage } from '../../demo/common/scene';
 import type { CallSender } from '../common/callSender';
 import type { CampaignLog } from '../common/campaignLog';
-import type { Disturbances } from '../common/disturbances';
+import type { EntryDisruptions } from '../common/disturbances';
 import type { FaultKind } from '../common/faultSchedule';
-import type { ManifestWatch } from './manifestWatch';
+import type { ManifestMonitor } from './manifestWatch';
 
-/** The running deployment with everything that watches it. */
-export interface Field {
+/** The running deployment, and the log and monitors of the campaign. */
+export interface CampaignContext {
 	readonly stage: Stage;
 	readonly fleet: Fleet;
 	readonly deployment: Deployment;
 	readonly log: CampaignLog;
-	readonly disturbances: Disturbances;
-	readonly manifests: ManifestWatch;
-	/** Sends the calls that faults themselves make. */
+	readonly disruptions: EntryDisruptions;
+	readonly manifestMonitor: ManifestMonitor;
+	/** Sends the calls of the fault phase, including those that faults make. */
 	readonly sender: CallSender;
 	readonly random: IRandom;
 }
 
-/** Injects one kind of fault and takes it back. */
+/** Injects and reverts one kind of fault. */
 export interface IFault {
 	readonly kind: FaultKind;
 	/**
-	 * Ends when the fault is taken back and what it disturbed is ready again.
+	 * Injects the fault. Resolves when it is reverted and the affected components are ready again.
 	 *
-	 * @param place Reduced to one of the places that the fault can strike.
+	 * @param place Index that is reduced modulo the number of candidates, to select the one that the fault
+	 * affects.
 	 */
-	run(field: Field, place: number): Promise<void>;
+	run(context: CampaignContext, place: number): Promise<void>;
 }
 
-/** The item at a place; there must be items. */
-export function getAt<TItem>(items: readonly TItem[], place: number): TItem {
+/** Picks the item at an index modulo the number of items. Throws if there is none. */
+export function pickByIndex<TItem>(items: readonly TItem[], place: number): TItem {
 	const item = items[place % items.length];
 	if (item === undefined) {
-		throw new Error('a fault has no place to strike');
+		throw new Error('no candidate for a fault');
 	}
 	return item;
 }
--- a/src/prove/node/manifestWatch.ts
+++ b/src/prove/node/manifestWatch.ts
@@ -1,5 +1,6 @@
 /**
- * Publishes manifests as the operators' pipelines do, and watches at every entry which one is in force.
+ * Publishes manifests as the operators' pipelines do, and polls the status of every entry for the manifest in
+ * force.
  */
 
 import { z } from 'zod';
@@ -12,46 +13,48 @@
 import type { Manifest } from '../../core/manifest/common/manifest';
 import { entryStatusSchema } from '../../core/status/common/entryStatus';
 import type { CampaignLog } from '../common/campaignLog';
-import type { Disturbances } from '../common/disturbances';
+import type { EntryDisruptions } from '../common/disturbances';
 import { Invariant } from '../common/invariants';
-import type { ManifestSighting } from '../common/manifestLedger';
-import { ManifestLedger } from '../common/manifestLedger';
+import type { ManifestObservation } from '../common/manifestLedger';
+import { ManifestRegressionCheck } from '../common/manifestLedger';
 
-const watchPeriodMs = 150;
-/** A frozen entry answers no status; it is asked again at the next turn. */
-const statusLimitMs = 1_000;
-/** What is promised, in milliseconds. */
-export const spreadLimitMs = 9_000;
+const pollIntervalMs = 150;
+/** A frozen entry does not answer, so its status is requested again at the next poll. */
+const statusTimeoutMs = 1_000;
+/**
+ * Longest time that a published manifest may take to be in force at all reachable entries, in milliseconds.
+ */
+export const maxPropagationMs = 9_000;
 
-/** The platform counts from 1, and opening the deployment published its manifest once. */
-const versionAtStart = 1;
+/** The platform counts versions from 1, and the start of the deployment published its manifest once. */
+const initialVersion = 1;
 
 const publishedSchema = z.object({ version: z.number() });
 
-/** Watches all entries from `start` until it is disposed of. */
-export class ManifestWatch extends Disposable {
-	private readonly ledger = new ManifestLedger();
-	private readonly latest = new Map<string, ManifestSighting>();
-	private publishedVersion = versionAtStart;
-	private isOver = false;
+/** Polls all entries from `start` until it is disposed. */
+export class ManifestMonitor extends Disposable {
+	private readonly regressionCheck = new ManifestRegressionCheck();
+	private readonly latestByEntry = new Map<string, ManifestObservation>();
+	private publishedVersion = initialVersion;
+	private isStopped = false;
 
 	constructor(
 		private readonly stage: Stage,
 		private readonly log: CampaignLog,
-		private readonly disturbances: Disturbances,
+		private readonly disruptions: EntryDisruptions,
 	) {
 		super();
-		const over: IDisposable = {
+		const stopPolling: IDisposable = {
 			dispose: () => {
-				this.isOver = true;
+				this.isStopped = true;
 			},
 		};
-		this.register(over);
+		this.register(stopPolling);
 	}
 
 	start(): void {
 		for (const entry of this.stage.addresses.entries) {
-			void this.watchEntry(entry);
+			void this.watchEntryManifest(entry);
 		}
 	}
 
@@ -60,7 +63,7 @@
 		return this.publishedVersion;
 	}
 
-	/** Publishes a document; the platform counts versions up where none is forced. */
+	/** Publishes a manifest. The platform increments the version unless `forcedVersion` sets it. */
 	async put(manifest: Manifest, forcedVersion?: number): Promise<number> {
 		const query = forcedVersion === undefined ? '' : `?version=${forcedVersion}`;
 		const answer = await this.stage.caller.send({
@@ -73,56 +76,65 @@
 		return version;
 	}
 
-	/** Publishes a document and waits until it is in force at every reachable entry. */
+	/**
+	 * Publishes a manifest and waits until it is in force at every reachable entry. Records a violation on
+	 * timeout.
+	 */
 	async putAndWait(manifest: Manifest): Promise<void> {
 		const startMs = this.stage.timers.getNow();
 		const version = await this.put(manifest);
-		const isSpread = await waitUntil(this.stage.timers, spreadLimitMs, () =>
-			Promise.resolve(this.listBehind(version, startMs).length === 0),
+		const isPropagated = await waitUntil(this.stage.timers, maxPropagationMs, () =>
+			Promise.resolve(this.listOutdatedEntries(version, startMs).length === 0),
 		);
-		if (isSpread) {
+		if (isPropagated) {
 			this.log.spreadMs.push(this.stage.timers.getNow() - startMs);
 			return;
 		}
-		const behind = this.listBehind(version, startMs).join(', ');
-		this.log.noteViolation(Invariant.ManifestSpreads, `version ${version} is not in force at ${behind}`);
+		const outdated = this.listOutdatedEntries(version, startMs).join(', ');
+		this.log.recordViolation(
+			Invariant.ManifestPropagates,
+			`version ${version} is not in force at ${outdated}`,
+		);
 	}
 
-	/** Entries that were reachable since `sinceMs` and have an older manifest in force, or another document. */
-	listBehind(version: number, sinceMs: number): string[] {
+	/** Entries that were reachable since `sinceMs` and whose last known manifest is older than `version`. */
+	listOutdatedEntries(version: number, sinceMs: number): string[] {
 		const reachable = this.stage.addresses.entries
 			.map(({ instance }) => instance)
-			.filter(instance => this.disturbances.isUndisturbedSince(instance, sinceMs));
-		return reachable.filter(instance => (this.latest.get(instance)?.version ?? 0) < version);
+			.filter(instance => this.disruptions.isUndisruptedSince(instance, sinceMs));
+		return reachable.filter(instance => (this.latestByEntry.get(instance)?.version ?? 0) < version);
 	}
 
-	/** How many different documents are in force. */
+	/** Number of different manifests among the last observations of all entries. */
 	countDigests(): number {
-		return new Set([...this.latest.values()].map(({ digest }) => digest)).size;
+		return new Set([...this.latestByEntry.values()].map(({ digest }) => digest)).size;
 	}
 
-	private async watchEntry(entry: EntryAddresses): Promise<void> {
-		while (!this.isOver) {
-			const sighting = await this.readSighting(entry);
-			if (sighting !== undefined) {
-				this.noteSighting(sighting);
+	private async watchEntryManifest(entry: EntryAddresses): Promise<void> {
+		while (!this.isStopped) {
+			const observation = await this.fetchObservation(entry);
+			if (observation !== undefined) {
+				this.recordObservation(observation);
 			}
-			await waitFor(this.stage.timers, watchPeriodMs);
+			await waitFor(this.stage.timers, pollIntervalMs);
 		}
 	}
 
-	private noteSighting(sighting: ManifestSighting): void {
-		this.latest.set(sighting.entry, sighting);
-		const fault = this.ledger.note(sighting);
-		if (fault !== undefined) {
-			this.log.noteViolation(Invariant.ManifestNeverReverts, fault);
+	private recordObservation(observation: ManifestObservation): void {
+		this.latestByEntry.set(observation.entry, observation);
+		const regression = this.regressionCheck.checkObservation(observation);
+		if (regression !== undefined) {
+			this.log.recordViolation(Invariant.ManifestNeverReverts, regression);
 		}
 	}
 
-	private async readSighting({ instance, operators }: EntryAddresses): Promise<ManifestSighting | undefined> {
+	private async fetchObservation({
+		instance,
+		operators,
+	}: EntryAddresses): Promise<ManifestObservation | undefined> {
 		const answer = await Promise.race([
 			this.stage.caller.send({ method: 'GET', url: `${operators}/v1/status` }),
-			waitFor(this.stage.timers, statusLimitMs),
+			waitFor(this.stage.timers, statusTimeoutMs),
 		]);
 		const status = answer === undefined ? undefined : entryStatusSchema.safeParse(parseJson(answer)).data;
 		if (status?.manifest === undefined || status.manifest === null) {
--- a/src/prove/node/preparedExample.ts
+++ b/src/prove/node/preparedExample.ts
@@ -1,6 +1,6 @@
 /**
- * Prepares the example of a deployment for a campaign: tickets live shortly, and relays stand where the
- * example has none, before the platform in each region and before one target of each kind, so that those
+ * Prepares a copy of the example deployment for a campaign: tickets get a short lifetime, and relays are
+ * added between each region and the platform and in front of one target of each service, so that these
  * connections can be cut and silenced too.
  */
 
@@ -8,40 +8,41 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import type { IDisposable } from '../../base/common/lifecycle';
-import { ticketLifeMs } from '../common/callers/payer';
+import { ticketLifetimeMs } from '../common/callers/payer';
 import { regionKeys } from '../common/calls';
 
-/** One more relay. */
+/** A relay that is added to the example. */
 interface AddedLink {
 	readonly name: string;
 	readonly listenPort: number;
 	readonly toPort: number;
 }
 
-/** Ports in the example's files; all of them are moved to free ones. */
+/** Ports in the example's files, all of which are replaced by free ports. */
 const platformPort = 7010;
 const firstAddedPort = 7501;
 
 /**
- * The relays before targets, by target. None stands in kingston, where a request crashes engines: a relay
- * takes connections also for a dead target, so entries could not tell its death from a broken connection.
+ * The relays in front of targets. There is none in kingston, where a request crashes inference engines: a
+ * relay accepts connections also for a crashed target, so entries could not distinguish a crash from a broken
+ * connection.
  */
 export const targetLinks = [
 	{ target: 'bookings-ocho-1', name: 'to-bookings-ocho-1', port: 7371 },
 	{ target: 'round-assistant-montego-1', name: 'to-round-assistant-montego-1', port: 7251 },
 ] as const;
 
-/** The relay between a region and the platform. */
+/** Name of the relay between a region and the platform. */
 export function getPlatformLink(region: string): string {
 	return `${region}-to-platform`;
 }
 
-const links: readonly AddedLink[] = [
+const addedLinks: readonly AddedLink[] = [
 	...regionKeys.map(region => ({ name: getPlatformLink(region), toPort: platformPort })),
 	...targetLinks.map(({ name, port }) => ({ name, toPort: port })),
 ].map((link, index) => ({ ...link, listenPort: firstAddedPort + index }));
 
-/** The prepared files; disposing of them removes the folder. */
+/** The prepared files in a temporary folder, which `dispose` removes. */
 export class PreparedExample implements IDisposable {
 	readonly folder = mkdtempSync(join(tmpdir(), 'anvilroad-prove-'));
 
@@ -67,23 +68,26 @@
 		return renderEntry(name, text);
 	}
 	if (name === 'standin-platform.ini') {
-		return [text, ...links.map(link => formatLink(link))].join('\n');
+		return [text, ...addedLinks.map(link => formatLink(link))].join('\n');
 	}
 	return name === 'manifest.json' ? renderManifest(text) : text;
 }
 
 function renderEntry(name: string, text: string): string {
 	const region = regionKeys.find(key => name.includes(key)) ?? '';
-	const link = links.find(other => other.name === getPlatformLink(region));
+	const link = addedLinks.find(candidate => candidate.name === getPlatformLink(region));
 	return text
-		.replace('[tickets]\n', `[tickets]\nlifetime_ms = ${ticketLifeMs}\n`)
+		.replace('[tickets]\n', `[tickets]\nlifetime_ms = ${ticketLifetimeMs}\n`)
 		.replace(formatAddress(platformPort), formatAddress(link?.listenPort ?? platformPort));
 }
 
 function renderManifest(text: string): string {
-	return links
+	return addedLinks
 		.filter(link => link.toPort !== platformPort)
-		.reduce((moved, link) => moved.replace(formatAddress(link.toPort), formatAddress(link.listenPort)), text);
+		.reduce(
+			(edited, link) => edited.replace(formatAddress(link.toPort), formatAddress(link.listenPort)),
+			text,
+		);
 }
 
 function formatLink({ name, listenPort, toPort }: AddedLink): string {
--- a/src/prove/node/proveProgram.ts
+++ b/src/prove/node/proveProgram.ts
@@ -1,6 +1,6 @@
 /**
- * Brings the example of Braithwaite up as separate processes, runs one campaign on it, and takes
- * everything down again.
+ * Starts the Braithwaite example deployment as separate processes, runs one campaign on it, and stops all
+ * processes.
  */
 
 import { Disposable } from '../../base/common/lifecycle';
@@ -14,33 +14,33 @@
 import { HttpCaller } from '../../demo/node/httpCaller';
 import { CallSender } from '../common/callSender';
 import { CampaignLog } from '../common/campaignLog';
-import { Disturbances } from '../common/disturbances';
+import { EntryDisruptions } from '../common/disturbances';
 import { Invariant } from '../common/invariants';
 import { Phase } from '../common/sendRecord';
 import type { CampaignResult } from '../common/verdict';
 import type { CampaignPlan } from './campaign';
 import { Campaign } from './campaign';
-import type { Field } from './field';
-import { ManifestWatch } from './manifestWatch';
+import type { CampaignContext } from './field';
+import { ManifestMonitor } from './manifestWatch';
 import { PreparedExample } from './preparedExample';
 
-/** Where the program finds what it runs. */
-export interface ProvePlaces {
+/** Folders that the program reads from. */
+export interface ProvePaths {
 	readonly exampleFolder: string;
 	/** Folder of the built programs. */
 	readonly binFolder: string;
 }
 
-/** One run of the program. */
+/** Runs one campaign on a new deployment. */
 export class ProveProgram extends Disposable {
 	private readonly timers = this.register(new SystemTimerService());
 	private readonly fleet = this.register(new Fleet(this.timers));
 	private readonly caller = new HttpCaller(this.timers);
 	private readonly log: CampaignLog;
 
-	/** @param report Called with each fault and breach as it happens. */
+	/** @param report Called with one line for each fault and violation when it is recorded. */
 	constructor(
-		private readonly places: ProvePlaces,
+		private readonly paths: ProvePaths,
 		private readonly plan: CampaignPlan,
 		report: (line: string) => void,
 	) {
@@ -52,24 +52,24 @@
 	}
 
 	async run(): Promise<CampaignResult> {
-		const example = this.register(new PreparedExample(this.places.exampleFolder));
+		const example = this.register(new PreparedExample(this.paths.exampleFolder));
 		const files = this.register(await DeploymentFiles.open(example.folder));
 		const admin = new StandinAdmin(this.caller);
-		const { binFolder } = this.places;
+		const { binFolder } = this.paths;
 		const deployment = new Deployment(files, this.fleet, admin, this.caller, this.timers, binFolder);
-		const field = await this.open(deployment, admin);
-		const result = await new Campaign(field, this.plan).run();
-		field.manifests.dispose();
-		await this.stop(deployment);
+		const context = await this.openDeployment(deployment, admin);
+		const result = await new Campaign(context, this.plan).run();
+		context.manifestMonitor.dispose();
+		await this.stopDeployment(deployment);
 		return { ...result, violations: [...new Set([...result.violations, ...this.log.violations])] };
 	}
 
-	/** The output of a process, newest last, for those who look into a breach. */
+	/** The output lines of each process by its name, newest last, for the analysis of violations. */
 	listLines(): ReadonlyMap<string, readonly string[]> {
 		return new Map(this.fleet.list().map(managed => [managed.spec.name, managed.listLines()]));
 	}
 
-	private async open(deployment: Deployment, admin: StandinAdmin): Promise<Field> {
+	private async openDeployment(deployment: Deployment, admin: StandinAdmin): Promise<CampaignContext> {
 		const addresses = await deployment.open();
 		const random = new SeededRandom(this.plan.seed);
 		const { timers, fleet, log, caller } = this;
@@ -81,19 +81,28 @@
 			admin,
 			timers,
 			random,
-			putManifest: changed => deployment.putManifest(changed),
+			putManifest: manifestToPublish => deployment.putManifest(manifestToPublish),
 		};
-		const disturbances = new Disturbances();
-		const manifests = this.register(new ManifestWatch(stage, log, disturbances));
+		const disruptions = new EntryDisruptions();
+		const manifestMonitor = this.register(new ManifestMonitor(stage, log, disruptions));
 		const sender = new CallSender(stage, log, Phase.Faults);
-		return { stage, fleet, deployment, log, disturbances, manifests, sender, random };
+		return {
+			stage,
+			fleet,
+			deployment,
+			log,
+			disruptions,
+			manifestMonitor,
+			sender,
+			random,
+		};
 	}
 
-	private async stop(deployment: Deployment): Promise<void> {
+	private async stopDeployment(deployment: Deployment): Promise<void> {
 		const reports = await deployment.stop();
 		for (const { name, end } of reports.filter(report => !isCleanEnd(report.end))) {
-			const how = end === undefined ? 'was killed' : `code ${String(end.code)}`;
-			this.log.noteViolation(Invariant.GracefulStop, `${name} did not end by itself: ${how}`);
+			const exit = end === undefined ? 'was killed' : `code ${String(end.code)}`;
+			this.log.recordViolation(Invariant.GracefulStop, `${name} did not end by itself: ${exit}`);
 		}
 		await this.caller.close();
 	}
--- a/src/prove/node/replacement.ts
+++ b/src/prove/node/replacement.ts
@@ -1,59 +1,60 @@
 /**
- * The last phase: all entries are replaced, one of each region at a time, under callers who follow lookups
- * and refusals, and under streams that are longer than the grace of a stop.
+ * The last phase of a campaign, a rolling replacement: all entries are stopped and started again, one of each
+ * region at a time, while callers follow lookups and refusals and streams run longer than the grace period of
+ * a stop.
  */
 
 import { SeededRandom } from '../../base/common/random';
 import { listEntriesOf, listTargetsOf } from '../../demo/common/deploymentAddresses';
 import { regions, services } from '../../demo/common/names';
 import { CallSender } from '../common/callSender';
-import { Follower } from '../common/callers/follower';
+import { LookupCaller } from '../common/callers/follower';
 import { regionKeys } from '../common/calls';
 import { FaultKind } from '../common/faultSchedule';
 import { Phase } from '../common/sendRecord';
 import type { CampaignPlan } from './campaign';
 import { CampaignCallers } from './campaignCallers';
-import { renewEntry } from './faults/entryFaults';
-import { withLeaving } from './faults/platformFaults';
-import type { Field } from './field';
+import { stopAndStartEntry } from './faults/entryFaults';
+import { withLeavingTargets } from './faults/platformFaults';
+import type { CampaignContext } from './field';
 
-/** Tokens of a draft that lasts longer than the grace of a stop. */
+/** Tokens of a draft that takes longer than the grace period of a stop. */
 const longDraftTokens = 600;
 const drainedRegion = regions.ocho;
 const seedStride = 2_000;
 
-/** Replaces all entries; the short form replaces one of each region. */
-export async function runReplacement(field: Field, plan: CampaignPlan): Promise<void> {
-	const { stage, log } = field;
+/** Replaces all entries. The short form replaces one entry of each region. */
+export async function runReplacement(context: CampaignContext, plan: CampaignPlan): Promise<void> {
+	const { stage, log } = context;
 	const sender = new CallSender(stage, log, Phase.Replacement);
 	const callers = new CampaignCallers(stage, sender, plan.seed + seedStride);
-	await drainEngines(field);
+	await drainEngines(context);
 	callers.start(longDraftTokens);
 	for (const home of regionKeys) {
-		callers.startCaller(`follower-${home}`, home, surroundings => new Follower(surroundings, log));
+		callers.startCaller(`follower-${home}`, home, callerContext => new LookupCaller(callerContext, log));
 	}
 	const random = new SeededRandom(plan.seed + seedStride);
-	await Promise.all(regionKeys.map(region => renewRegion(field, region, random, plan.isShort)));
+	await Promise.all(regionKeys.map(region => runRegionReplacement(context, region, random, plan.isShort)));
 	await callers.stop();
 }
 
-/** Without engines of its own, a region's drafts are relayed by entries of two regions. */
-async function drainEngines({ stage, manifests }: Field): Promise<void> {
-	const drained = listTargetsOf(stage.addresses, services.assistant, drainedRegion).map(({ id }) => id);
-	await manifests.putAndWait(withLeaving(stage.manifest, drained));
+/** Drains the inference engines of one region, so that its drafts are relayed by entries of two regions. */
+async function drainEngines({ stage, manifestMonitor }: CampaignContext): Promise<void> {
+	const drainedIds = listTargetsOf(stage.addresses, services.assistant, drainedRegion).map(({ id }) => id);
+	await manifestMonitor.putAndWait(withLeavingTargets(stage.manifest, drainedIds));
 }
 
-async function renewRegion(
-	field: Field,
+async function runRegionReplacement(
+	context: CampaignContext,
 	region: string,
 	random: SeededRandom,
 	isShort: boolean,
 ): Promise<void> {
-	const entries = listEntriesOf(field.stage.addresses, region);
+	const entries = listEntriesOf(context.stage.addresses, region);
 	const first = random.pickBelow(entries.length);
 	const chosen = isShort ? entries.slice(first, first + 1) : entries;
 	for (const entry of chosen) {
-		field.log.noteFault(FaultKind.StopEntry, entry.instance);
-		await renewEntry(field, entry);
+		context.log.recordFault(FaultKind.StopEntry, entry.instance);
+		await stopAndStartEntry(context, entry);
 	}
 }
--- a/src/prove/node/runReader.ts
+++ b/src/prove/node/runReader.ts
@@ -1,5 +1,5 @@
 /**
- * Reads the targets' view at the end of a campaign: what each plain service ran.
+ * Reads the targets' records at the end of a campaign: the calls that each simulated service ran.
  */
 
 import { z } from 'zod';
@@ -16,7 +16,7 @@
 	),
 });
 
-/** Every run of every plain service. */
+/** Reads the number of runs of each call at each simulated service that counts its runs. */
 export async function readRuns(stage: Stage): Promise<RunRecord[]> {
 	const regionsByTarget = new Map(stage.addresses.targets.map(({ id, region }) => [id, region]));
 	const answers = await Promise.all(
--- a/src/prove/test/proveFixtures.ts
+++ b/src/prove/test/proveFixtures.ts
@@ -1,12 +1,12 @@
 /**
- * Fixtures of the campaign's tests.
+ * Creates records of sends and runs for the tests of the campaign's checks.
  */
 
 import type { RunRecord } from '../common/invariants';
 import type { SendRecord } from '../common/sendRecord';
-import { CallKind, Phase, Told } from '../common/sendRecord';
+import { CallKind, Phase, SendOutcome } from '../common/sendRecord';
 
-/** A check that was answered in the calm phase, but for what is changed. */
+/** Creates the record of a check that was answered in the calm phase, with `changes` applied. */
 export function createSend(changes: Partial<SendRecord> = {}): SendRecord {
 	return {
 		callId: 'call-1',
@@ -16,7 +16,7 @@
 		region: 'kingston',
 		isTicketed: false,
 		phase: Phase.Calm,
-		told: Told.Answered,
+		told: SendOutcome.Answered,
 		status: 200,
 		errorKind: '',
 		isExpected: true,
@@ -28,12 +28,12 @@
 	};
 }
 
-/** A payment that was answered in the calm phase, but for what is changed. */
+/** Creates the record of a payment that was answered in the calm phase, with `changes` applied. */
 export function createPaymentSend(changes: Partial<SendRecord> = {}): SendRecord {
 	return createSend({ kind: CallKind.Payment, isTicketed: true, ...changes });
 }
 
-/** One run of that call at home, but for what is changed. */
+/** Creates the record of one run of that call in its home region, with `changes` applied. */
 export function createRun(changes: Partial<RunRecord> = {}): RunRecord {
 	return { callId: 'call-1', target: 'bookings-kingston-1', region: 'kingston', runs: 1, ...changes };
 }
