--- a/src/prove/node/campaign.ts
+++ b/src/prove/node/campaign.ts
@@ -13,8 +13,8 @@
 import { Phase } from '../common/sendRecord';
 import type { CampaignResult } from '../common/verdict';
 import { CampaignCallers } from './campaignCallers';
-import { faultSequences } from './faults/lanes';
-import type { CampaignContext, IFault } from './field';
+import type { CampaignContext, IFault } from './campaignContext';
+import { faultSequences } from './faults/faultSequences';
 import { runReplacement } from './replacement';
 import { readRuns } from './runReader';
 
--- a/src/prove/node/campaignCallers.ts
+++ b/src/prove/node/campaignCallers.ts
@@ -8,8 +8,8 @@
 import type { CallSender } from '../common/callSender';
 import type { CallerContext, ICampaignCaller } from '../common/callers/campaignCaller';
 import { runCaller } from '../common/callers/campaignCaller';
-import { PaymentCaller } from '../common/callers/payer';
-import { DraftCaller, MisdirectedCaller, RepeatableCaller } from '../common/callers/plainCallers';
+import { PaymentCaller } from '../common/callers/paymentCaller';
+import { DraftCaller, MisdirectedCaller, RepeatableCaller } from '../common/callers/singleSendCallers';
 import type { RegionKey } from '../common/calls';
 import { regionKeys } from '../common/calls';
 
--- a/src/prove/node/field.ts
+++ b/src/prove/node/campaignContext.ts
@@ -8,9 +8,9 @@
 import type { Stage } from '../../demo/common/scene';
 import type { CallSender } from '../common/callSender';
 import type { CampaignLog } from '../common/campaignLog';
-import type { EntryDisruptions } from '../common/disturbances';
+import type { EntryDisruptions } from '../common/entryDisruptions';
 import type { FaultKind } from '../common/faultSchedule';
-import type { ManifestMonitor } from './manifestWatch';
+import type { ManifestMonitor } from './manifestMonitor';
 
 /** The running deployment, and the log and monitors of the campaign. */
 export interface CampaignContext {
--- a/src/prove/node/faults/entryFaults.ts
+++ b/src/prove/node/faults/entryFaults.ts
@@ -5,11 +5,11 @@
 import type { EntryAddresses } from '../../../demo/common/deploymentAddresses';
 import { waitFor } from '../../../demo/common/poll';
 import { isCleanEnd } from '../../../demo/node/fleet';
-import { ticketLifetimeMs } from '../../common/callers/payer';
+import { ticketLifetimeMs } from '../../common/callers/paymentCaller';
 import { FaultKind } from '../../common/faultSchedule';
 import { Invariant } from '../../common/invariants';
-import type { CampaignContext, IFault } from '../field';
-import { pickByIndex } from '../field';
+import type { CampaignContext, IFault } from '../campaignContext';
+import { pickByIndex } from '../campaignContext';
 
 const restartDelayMs = 300;
 const recoveryMs = 500;
--- a/src/prove/node/faults/lanes.ts
+++ b/src/prove/node/faults/faultSequences.ts
@@ -3,7 +3,7 @@
  * component and run one after the other. Which faults of different sequences overlap depends on the seed.
  */
 
-import type { IFault } from '../field';
+import type { IFault } from '../campaignContext';
 import { FreezeEntryFault, KillEntryFault, StopEntryFault } from './entryFaults';
 import { CutLinksFault, IsolateRegionFault, SilenceLinksFault } from './linkFaults';
 import {
--- a/src/prove/node/faults/linkFaults.ts
+++ b/src/prove/node/faults/linkFaults.ts
@@ -12,8 +12,8 @@
 import { FaultKind } from '../../common/faultSchedule';
 import { Invariant } from '../../common/invariants';
 import { SendOutcome } from '../../common/sendRecord';
-import type { CampaignContext, IFault } from '../field';
-import { pickByIndex } from '../field';
+import type { CampaignContext, IFault } from '../campaignContext';
+import { pickByIndex } from '../campaignContext';
 import { getPlatformLink } from '../preparedExample';
 import { killAndStartEntry } from './entryFaults';
 
--- a/src/prove/node/faults/platformFaults.ts
+++ b/src/prove/node/faults/platformFaults.ts
@@ -9,8 +9,8 @@
 import type { Manifest } from '../../../core/manifest/common/manifest';
 import { TargetIntent } from '../../../core/manifest/common/manifest';
 import { FaultKind } from '../../common/faultSchedule';
-import type { CampaignContext, IFault } from '../field';
-import { pickByIndex } from '../field';
+import type { CampaignContext, IFault } from '../campaignContext';
+import { pickByIndex } from '../campaignContext';
 import { checkNoNewRequests } from './targetFaults';
 
 const faultMs = 1_500;
--- a/src/prove/node/faults/targetFaults.ts
+++ b/src/prove/node/faults/targetFaults.ts
@@ -12,8 +12,8 @@
 import { pickRandom } from '../../common/callers/campaignCaller';
 import { FaultKind } from '../../common/faultSchedule';
 import { Invariant } from '../../common/invariants';
-import type { CampaignContext, IFault } from '../field';
-import { pickByIndex } from '../field';
+import type { CampaignContext, IFault } from '../campaignContext';
+import { pickByIndex } from '../campaignContext';
 import { targetLinks } from '../preparedExample';
 
 const faultMs = 1_200;
--- a/src/prove/node/manifestWatch.ts
+++ b/src/prove/node/manifestMonitor.ts
@@ -13,10 +13,10 @@
 import type { Manifest } from '../../core/manifest/common/manifest';
 import { entryStatusSchema } from '../../core/status/common/entryStatus';
 import type { CampaignLog } from '../common/campaignLog';
-import type { EntryDisruptions } from '../common/disturbances';
+import type { EntryDisruptions } from '../common/entryDisruptions';
 import { Invariant } from '../common/invariants';
-import type { ManifestObservation } from '../common/manifestLedger';
-import { ManifestRegressionCheck } from '../common/manifestLedger';
+import type { ManifestObservation } from '../common/manifestRegressionCheck';
+import { ManifestRegressionCheck } from '../common/manifestRegressionCheck';
 
 const pollIntervalMs = 150;
 /** A frozen entry does not answer, so its status is requested again at the next poll. */
--- a/src/prove/node/preparedExample.ts
+++ b/src/prove/node/preparedExample.ts
@@ -8,7 +8,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import type { IDisposable } from '../../base/common/lifecycle';
-import { ticketLifetimeMs } from '../common/callers/payer';
+import { ticketLifetimeMs } from '../common/callers/paymentCaller';
 import { regionKeys } from '../common/calls';
 
 /** A relay that is added to the example. */
--- a/src/prove/node/proveProgram.ts
+++ b/src/prove/node/proveProgram.ts
@@ -14,14 +14,14 @@
 import { HttpCaller } from '../../demo/node/httpCaller';
 import { CallSender } from '../common/callSender';
 import { CampaignLog } from '../common/campaignLog';
-import { EntryDisruptions } from '../common/disturbances';
+import { EntryDisruptions } from '../common/entryDisruptions';
 import { Invariant } from '../common/invariants';
 import { Phase } from '../common/sendRecord';
 import type { CampaignResult } from '../common/verdict';
 import type { CampaignPlan } from './campaign';
 import { Campaign } from './campaign';
-import type { CampaignContext } from './field';
-import { ManifestMonitor } from './manifestWatch';
+import type { CampaignContext } from './campaignContext';
+import { ManifestMonitor } from './manifestMonitor';
 import { PreparedExample } from './preparedExample';
 
 /** Folders that the program reads from. */
--- a/src/prove/node/replacement.ts
+++ b/src/prove/node/replacement.ts
@@ -8,15 +8,15 @@
 import { listEntriesOf, listTargetsOf } from '../../demo/common/deploymentAddresses';
 import { regions, services } from '../../demo/common/names';
 import { CallSender } from '../common/callSender';
-import { LookupCaller } from '../common/callers/follower';
+import { LookupCaller } from '../common/callers/lookupCaller';
 import { regionKeys } from '../common/calls';
 import { FaultKind } from '../common/faultSchedule';
 import { Phase } from '../common/sendRecord';
 import type { CampaignPlan } from './campaign';
 import { CampaignCallers } from './campaignCallers';
+import type { CampaignContext } from './campaignContext';
 import { stopAndStartEntry } from './faults/entryFaults';
 import { withLeavingTargets } from './faults/platformFaults';
-import type { CampaignContext } from './field';
 
 /** Tokens of a draft that takes longer than the grace period of a stop. */
 const longDraftTokens = 600;
--- a/src/prove/test/campaignParts.test.ts
+++ b/src/prove/test/campaignParts.test.ts
@@ -1,8 +1,8 @@
 import * as fc from 'fast-check';
 import { SeededRandom } from '../../base/common/random';
-import { EntryDisruptions } from '../common/disturbances';
+import { EntryDisruptions } from '../common/entryDisruptions';
 import { FaultKind, listMissing, planFaults } from '../common/faultSchedule';
-import { ManifestRegressionCheck } from '../common/manifestLedger';
+import { ManifestRegressionCheck } from '../common/manifestRegressionCheck';
 
 const kinds = Object.values(FaultKind);
 
