--- a/src/prove/node/runReader.ts
+++ b/src/prove/node/runReader.ts
@@ -1,10 +1,10 @@
 /**
- * Reads the targets' view at the end of a campaign: what each plain service ran.
+ * Reads the targets' records at the end of a campaign: the calls that each simulated service ran.
  */
 
 import { z } from 'zod';
 import { parseJson } from '../../demo/common/caller';
-import type { Stage } from '../../demo/common/scene';
+import type { DeploymentContext } from '../../demo/common/scenario';
 import type { RunRecord } from '../common/invariants';
 
 const runsSchema = z.object({
@@ -16,8 +16,8 @@
 	),
 });
 
-/** Every run of every plain service. */
-export async function readRuns(stage: Stage): Promise<RunRecord[]> {
+/** Reads the number of runs of each call at each simulated service that counts its runs. */
+export async function readRuns(stage: DeploymentContext): Promise<RunRecord[]> {
 	const regionsByTarget = new Map(stage.addresses.targets.map(({ id, region }) => [id, region]));
 	const answers = await Promise.all(
 		stage.addresses.standins.map(({ admin }) =>
