--- a/src/bench/common/baselines.ts
+++ b/src/bench/common/baselines.ts
@@ -1,7 +1,8 @@
 /**
- * What ours is compared with. The three here send every request at once to a target and leave the waiting
- * to the target's own queue, as plain balancers do: no admission, no limit, no fairness. They differ in the
- * choice of the target. Retries, where switched on, are made for every failure and without a budget.
+ * Baseline schedulers for the comparison with the product's scheduler. They send every request to a target
+ * immediately, as a simple load balancer does, and requests queue at the target: there is no admission control,
+ * no concurrency limit and no fairness. The baselines differ in how they choose the target. If retries are
+ * enabled, every failure is retried, up to a number of attempts for each request and without a retry budget.
  */
 
 import type { IRandom } from '../../base/common/random';
@@ -17,39 +18,42 @@
 import { createRequestError, ErrorKind } from '../../core/errors/common/errorKinds';
 import type { RequestId, TargetId } from '../../core/ids/common/ids';
 
-/** How a baseline chooses its target. */
-export enum PlainChoice {
+/** How a baseline scheduler chooses the target. */
+export enum BaselinePolicy {
 	Random = 'random',
 	RoundRobin = 'round-robin',
 	LeastInFlight = 'least-in-flight',
-	/** The least by the targets' own last reports: the herding baseline. */
+	/**
+	 * The target with the lowest load in the last load reports. Prone to herding: between two reports, all requests go
+	 * to the same target.
+	 */
 	LeastReported = 'least-reported',
 }
 
-const attemptsWithRetries = 3;
-const comeBackMs = 1_000;
+const maxAttempts = 3;
+const noTargetRetryAfterMs = 1_000;
 
-interface PlainTarget {
+interface BaselineTarget {
 	readonly id: TargetId;
 	inFlight: number;
 	reported: number;
 }
 
-interface PlainRequest {
+interface BaselineRequest {
 	readonly request: SchedulableRequest;
 	attempts: number;
-	target: PlainTarget | undefined;
+	target: BaselineTarget | undefined;
 }
 
-/** Sends everything at once. */
-export class PlainScheduler implements IServiceScheduler {
-	private targets: readonly PlainTarget[] = [];
-	private readonly held = new Map<RequestId, PlainRequest>();
-	private waiting: PlainRequest[] = [];
-	private turn = 0;
+/** Sends every request to a target immediately. */
+export class BaselineScheduler implements IServiceScheduler {
+	private targets: readonly BaselineTarget[] = [];
+	private readonly openRequests = new Map<RequestId, BaselineRequest>();
+	private waiting: BaselineRequest[] = [];
+	private nextTargetIndex = 0;
 
 	constructor(
-		private readonly choice: PlainChoice,
+		private readonly policy: BaselinePolicy,
 		private readonly random: IRandom,
 		private readonly isRetrying: boolean,
 	) {}
@@ -61,15 +65,15 @@
 	}
 
 	submit(request: SchedulableRequest): void {
-		const held = { request, attempts: 0, target: undefined };
-		this.held.set(request.id, held);
-		this.waiting.push(held);
+		const openRequest = { request, attempts: 0, target: undefined };
+		this.openRequests.set(request.id, openRequest);
+		this.waiting.push(openRequest);
 	}
 
 	advance(): readonly ScheduleDecision[] {
 		const waiting = this.waiting;
 		this.waiting = [];
-		return waiting.map(held => this.decideFor(held));
+		return waiting.map(openRequest => this.decideFor(openRequest));
 	}
 
 	getNextDueMs(): undefined {
@@ -81,22 +85,22 @@
 	}
 
 	noteEnd(requestId: RequestId, end: AttemptEnd): boolean {
-		const held = this.held.get(requestId);
-		if (held?.target === undefined) {
+		const openRequest = this.openRequests.get(requestId);
+		if (openRequest?.target === undefined) {
 			return false;
 		}
-		held.target.inFlight--;
-		held.target = undefined;
+		openRequest.target.inFlight--;
+		openRequest.target = undefined;
 		const isFailure = end !== AttemptEnd.Answered && end !== AttemptEnd.Cancelled;
-		if (isFailure && this.isRetrying && held.attempts < attemptsWithRetries) {
-			this.waiting.push(held);
+		if (isFailure && this.isRetrying && openRequest.attempts < maxAttempts) {
+			this.waiting.push(openRequest);
 			return true;
 		}
-		this.held.delete(requestId);
+		this.openRequests.delete(requestId);
 		return false;
 	}
 
-	/** A target's own failure is passed on. */
+	/** Always false: a failure that the target answered with is forwarded to the caller. */
 	isRetriable(): boolean {
 		return false;
 	}
@@ -109,12 +113,12 @@
 	}
 
 	cancel(requestId: RequestId): void {
-		this.held.delete(requestId);
-		this.waiting = this.waiting.filter(held => held.request.id !== requestId);
+		this.openRequests.delete(requestId);
+		this.waiting = this.waiting.filter(openRequest => openRequest.request.id !== requestId);
 	}
 
 	measureRoom(): ServiceRoom {
-		return { waitMs: 0, freeSlots: 0, running: this.held.size, queued: 0 };
+		return { waitMs: 0, freeSlots: 0, running: this.openRequests.size, queued: 0 };
 	}
 
 	measureTarget(id: TargetId): TargetRoom {
@@ -122,39 +126,41 @@
 		return { running: target?.inFlight ?? 0, limit: Number.POSITIVE_INFINITY };
 	}
 
-	private decideFor(held: PlainRequest): ScheduleDecision {
-		const requestId = held.request.id;
+	private decideFor(openRequest: BaselineRequest): ScheduleDecision {
+		const requestId = openRequest.request.id;
 		const target = this.pickTarget();
 		if (target === undefined) {
-			this.held.delete(requestId);
-			const error = createRequestError(ErrorKind.NoTarget, 'no target', { retryAfterMs: comeBackMs });
+			this.openRequests.delete(requestId);
+			const error = createRequestError(ErrorKind.NoTarget, 'no target', {
+				retryAfterMs: noTargetRetryAfterMs,
+			});
 			return { kind: ScheduleDecisionKind.Refuse, requestId, error };
 		}
-		held.attempts++;
-		held.target = target;
+		openRequest.attempts++;
+		openRequest.target = target;
 		target.inFlight++;
-		return { kind: ScheduleDecisionKind.Start, requestId, target: target.id, reason: this.choice };
+		return { kind: ScheduleDecisionKind.Start, requestId, target: target.id, reason: this.policy };
 	}
 
-	private pickTarget(): PlainTarget | undefined {
-		switch (this.choice) {
-			case PlainChoice.Random:
+	private pickTarget(): BaselineTarget | undefined {
+		switch (this.policy) {
+			case BaselinePolicy.Random:
 				return this.targets[this.random.pickBelow(this.targets.length)];
-			case PlainChoice.RoundRobin:
-				return this.targets[this.turn++ % this.targets.length];
-			case PlainChoice.LeastInFlight:
+			case BaselinePolicy.RoundRobin:
+				return this.targets[this.nextTargetIndex++ % this.targets.length];
+			case BaselinePolicy.LeastInFlight:
 				return findLeast(this.targets, target => target.inFlight);
-			case PlainChoice.LeastReported:
+			case BaselinePolicy.LeastReported:
 				return findLeast(this.targets, target => target.reported);
 		}
 	}
 }
 
 function findLeast(
-	targets: readonly PlainTarget[],
-	measure: (target: PlainTarget) => number,
-): PlainTarget | undefined {
-	return targets.reduce<PlainTarget | undefined>(
+	targets: readonly BaselineTarget[],
+	measure: (target: BaselineTarget) => number,
+): BaselineTarget | undefined {
+	return targets.reduce<BaselineTarget | undefined>(
 		(best, target) => (best === undefined || measure(target) < measure(best) ? target : best),
 		undefined,
 	);
--- a/src/bench/common/contenders.ts
+++ b/src/bench/common/contenders.ts
@@ -1,5 +1,5 @@
 /**
- * The schedulers that are compared, each under the name that the tables give it.
+ * The schedulers that are compared, with their names in the result tables.
  */
 
 import type { IRandom } from '../../base/common/random';
@@ -7,20 +7,21 @@
 import { defaultSchedulingPolicy } from '../../entry/common/scheduling/policy';
 import { ServiceScheduler } from '../../entry/common/scheduling/scheduler';
 import type { IServiceScheduler } from '../../entry/common/scheduling/serviceScheduler';
-import { PlainChoice, PlainScheduler } from './baselines';
+import { BaselinePolicy, BaselineScheduler } from './baselines';
 
-/** One of the schedulers in a comparison. */
+/** A scheduler that takes part in a comparison. */
 export interface Contender {
 	readonly name: string;
 	readonly create: (random: IRandom) => IServiceScheduler;
 }
 
+/** The product's scheduler with its default policy. */
 export const ours: Contender = {
 	name: 'anvilroad',
 	create: random => new ServiceScheduler(random),
 };
 
-/** Ours without its budget: every failed attempt is made again while attempts are left. */
+/** The product's scheduler without a retry budget: every failed attempt is retried while attempts are left. */
 export const oursWithoutBudget: Contender = {
 	name: 'no retry budget',
 	create: random =>
@@ -32,19 +33,19 @@
 
 export const fifo: Contender = { name: 'fifo', create: () => new FifoScheduler() };
 
-function createPlain(choice: PlainChoice): Contender {
-	return { name: choice, create: random => new PlainScheduler(choice, random, false) };
+function createBaseline(policy: BaselinePolicy): Contender {
+	return { name: policy, create: random => new BaselineScheduler(policy, random, false) };
 }
 
-export const randomChoice = createPlain(PlainChoice.Random);
-export const roundRobin = createPlain(PlainChoice.RoundRobin);
-export const leastInFlight = createPlain(PlainChoice.LeastInFlight);
-export const leastReported = createPlain(PlainChoice.LeastReported);
+export const randomChoice = createBaseline(BaselinePolicy.Random);
+export const roundRobin = createBaseline(BaselinePolicy.RoundRobin);
+export const leastInFlight = createBaseline(BaselinePolicy.LeastInFlight);
+export const leastReported = createBaseline(BaselinePolicy.LeastReported);
 
 export const retryingAlways: Contender = {
 	name: 'retries always',
-	create: random => new PlainScheduler(PlainChoice.LeastInFlight, random, true),
+	create: random => new BaselineScheduler(BaselinePolicy.LeastInFlight, random, true),
 };
 
-/** Those that every pattern is run with. */
+/** The schedulers that every load pattern is run with. */
 export const allContenders: readonly Contender[] = [ours, fifo, randomChoice, roundRobin, leastInFlight];
--- a/src/bench/common/entryModel.ts
+++ b/src/bench/common/entryModel.ts
@@ -1,6 +1,7 @@
 /**
- * An entry in virtual time: carries out what a scheduler decides, as the real entry does. It ends a request
- * at its deadline whatever the scheduler says, so that every scheduler is judged by the same callers.
+ * Model of an entry (the proxy process that schedules requests) in virtual time. It applies the decisions of a
+ * scheduler as the real entry does. A request always ends at its deadline, regardless of the scheduler's decisions,
+ * so that all schedulers are compared under the same caller behaviour.
  */
 
 import type { IDisposable } from '../../base/common/lifecycle';
@@ -15,20 +16,22 @@
 import type { RequestId, TargetId } from '../../core/ids/common/ids';
 import type { TargetModel } from './targetModel';
 
-/** A request with what the target model needs of it. */
+/** A request and the properties that the target model needs. */
 export interface ModelRequest {
 	readonly request: SchedulableRequest;
+	/** Processing time if the request runs alone on a healthy target. */
 	readonly workMs: number;
+	/** Additional processing time if the prompt prefix is not cached. */
 	readonly coldMs: number;
-	/** May be answered in its home region only. */
-	readonly isBound: boolean;
+	/** Whether the request may be served in its home region only. */
+	readonly isHomeRegionOnly: boolean;
 }
 
 /** How a request ended for its caller. */
 export enum ModelEnd {
 	Answered = 'answered',
 	Refused = 'refused',
-	/** An attempt failed or the deadline passed. */
+	/** The last attempt failed or the deadline passed. */
 	Failed = 'failed',
 }
 
@@ -45,20 +48,20 @@
 	attempts: number;
 }
 
-/** Drives one scheduler. */
+/** Submits requests to one scheduler and runs the attempts that the scheduler starts. */
 export class EntryModel {
-	/** Attempts beyond the first of their request. */
+	/** Attempts after the first one of each request. */
 	retries = 0;
 	attempts = 0;
 	private readonly open = new Map<RequestId, OpenRequest>();
-	private due: IDisposable | undefined;
+	private advanceTimer: IDisposable | undefined;
 	private isAdvancing = false;
 
 	constructor(
 		private readonly timers: ITimerService,
 		readonly scheduler: IServiceScheduler,
 		private readonly targets: ReadonlyMap<TargetId, TargetModel>,
-		/** One way to a target, in milliseconds. */
+		/** One-way network delay to a target. */
 		private readonly networkMs: number,
 	) {}
 
@@ -78,7 +81,7 @@
 		this.advance();
 	}
 
-	/** Hands a target's report of its load to the scheduler. */
+	/** Passes the load report of a target to the scheduler. */
 	noteLoad(target: TargetId, running: number, waiting: number, slots: number, ageMs: number): void {
 		this.scheduler.noteLoad(target, { running, waiting, slots, ageMs }, this.timers.getNow());
 		this.advance();
@@ -99,17 +102,17 @@
 			}
 		}
 		this.isAdvancing = false;
-		this.scheduleDue();
+		this.scheduleAdvance();
 	}
 
-	private scheduleDue(): void {
-		this.due?.dispose();
+	private scheduleAdvance(): void {
+		this.advanceTimer?.dispose();
 		const dueMs = this.scheduler.getNextDueMs();
 		if (dueMs === undefined) {
 			return;
 		}
-		// At least a tenth of a millisecond: a due time that does not move must not stop the clock.
-		this.due = this.timers.schedule(Math.max(0.1, dueMs - this.timers.getNow()), () => {
+		// The minimum delay of 0.1 ms lets virtual time progress even if the scheduler keeps returning the same due time.
+		this.advanceTimer = this.timers.schedule(Math.max(0.1, dueMs - this.timers.getNow()), () => {
 			this.advance();
 		});
 	}
@@ -117,7 +120,7 @@
 	private applyDecision(decision: ScheduleDecision): void {
 		const open = this.open.get(decision.requestId);
 		if (open === undefined) {
-			throw new Error(`decided on ${decision.requestId}, which is not open`);
+			throw new Error(`scheduler decided on request ${decision.requestId}, which is not open`);
 		}
 		if (decision.kind === ScheduleDecisionKind.Refuse) {
 			this.finish(decision.requestId, ModelEnd.Refused, decision.error.retryAfterMs);
@@ -125,7 +128,7 @@
 		}
 		const target = this.targets.get(decision.target);
 		if (target === undefined || open.target !== undefined) {
-			throw new Error(`${decision.requestId} was started twice or at an unknown target`);
+			throw new Error(`request ${decision.requestId} was started twice or at an unknown target`);
 		}
 		this.startAttempt(open, target);
 	}
@@ -166,8 +169,8 @@
 	private endAttempt(open: OpenRequest, end: AttemptEnd): void {
 		const { id } = open.model.request;
 		open.target = undefined;
-		const isTakenBack = this.scheduler.noteEnd(id, end, this.timers.getNow());
-		if (!isTakenBack) {
+		const isRetried = this.scheduler.noteEnd(id, end, this.timers.getNow());
+		if (!isRetried) {
 			this.finish(id, end === AttemptEnd.Answered ? ModelEnd.Answered : ModelEnd.Failed, undefined);
 		}
 		this.advance();
--- a/src/bench/common/experiment.ts
+++ b/src/bench/common/experiment.ts
@@ -1,6 +1,6 @@
 /**
- * One run: callers, entries and targets of one region on a virtual clock. The same seed draws the same
- * callers for every scheduler, so that two runs differ by the decisions alone.
+ * Simulates callers, entries and targets of one region on a virtual clock. A seed generates the same caller requests
+ * for every scheduler, so that two runs differ only in the decisions of their schedulers.
  */
 
 import { ManualTimerService } from '../../base/common/manualTimerService';
@@ -16,29 +16,32 @@
 import type { RequestKind } from './workload';
 import { planArrivals } from './workload';
 
-/** What refused callers do. */
+/** When callers resend a refused request. */
 export enum ResendRule {
 	Never = 'never',
-	/** Come back when they were told to. */
-	WhenTold = 'when-told',
-	/** Come back after a fifth of a second, whatever they were told. */
-	AtOnce = 'at-once',
+	/** After the delay given in the refusal. */
+	AfterRetryDelay = 'when-told',
+	/** After 200 ms, regardless of the delay given in the refusal. */
+	AfterFixedDelay = 'at-once',
 }
 
-/** Something that happens to the targets at a time of the run. */
+/** A change to the targets at a given time of the run, such as an outage. */
 export interface ModelEvent {
 	readonly atMs: number;
 	readonly apply: (targets: readonly TargetModel[]) => void;
 }
 
-/** All that a run is made from. */
+/** Configuration of a run. */
 export interface ExperimentOptions {
 	readonly seed: number;
 	readonly createScheduler: (random: IRandom) => IServiceScheduler;
 	readonly kinds: readonly RequestKind[];
-	/** Until when callers send. */
+	/** Time during which callers send requests. */
 	readonly durationMs: number;
-	/** Callers that send outside this part of the run make load but are not counted. */
+	/**
+	 * Start of the counted part of the run. Requests that are planned outside the counted part cause load but
+	 * are not recorded.
+	 */
 	readonly countFromMs: number;
 	readonly countUntilMs: number;
 	readonly targetCount: number;
@@ -46,43 +49,44 @@
 	readonly entryCount: number;
 	readonly batchSlowdown: number;
 	readonly cachedPrefixes: number;
-	/** Time between two reports of a target's load, and how old each is on arrival; 0 for none. */
+	/** Interval between two load reports of a target. 0 disables load reports. */
 	readonly reportPeriodMs: number;
+	/** Age of a load report when it arrives at the entries. */
 	readonly reportLagMs: number;
 	readonly resend: ResendRule;
 	readonly events: readonly ModelEvent[];
 }
 
-/** What one caller received. */
+/** Outcome of one caller's request, including its resends. */
 export interface CallerRecord {
 	readonly requestClass: RequestClass;
 	readonly organisation: string;
 	readonly plannedMs: number;
-	/** Work that an answer is worth, in milliseconds. */
+	/** Processing time of the request alone on a healthy target. Weighs the request in the work goodput. */
 	readonly workMs: number;
 	endMs: number;
 	end: ModelEnd | undefined;
-	/** Sends, the first included. */
+	/** Number of sends, including the first. */
 	sends: number;
-	/** From each send that was refused to its refusal, in milliseconds; the longest. */
+	/** Longest time from a send to its refusal. */
 	longestRefusalMs: number;
-	/** When refused callers were told to come back, in monotonic milliseconds. */
-	readonly toldBackMs: number[];
-	/** When each send was made. */
+	/** Earliest time of a resend according to each refusal, in monotonic milliseconds. */
+	readonly retryNotBeforeMs: number[];
+	/** Time of each send, in monotonic milliseconds. */
 	readonly sentMs: number[];
 }
 
-/** What a run gave. */
+/** Result of a run. */
 export interface ExperimentResult {
 	readonly records: readonly CallerRecord[];
 	readonly targets: readonly TargetModel[];
-	/** Sends that were answered, those of callers that are not counted included. */
+	/** Number of answered sends, including those outside the counted part. */
 	readonly answers: number;
 	readonly attempts: number;
 	readonly retries: number;
-	/** Length of the counted part, in milliseconds. */
+	/** Length of the counted part. */
 	readonly countedMs: number;
-	/** Time in which callers sent. */
+	/** Time during which callers sent requests. */
 	readonly runMs: number;
 }
 
@@ -103,10 +107,10 @@
 };
 
 const networkMs = 0.5;
-const resendAtOnceMs = 200;
-const mostSends = 20;
+const fixedResendDelayMs = 200;
+const maxSends = 20;
 
-/** Runs one experiment to the end of its last caller. */
+/** Runs one experiment until the deadline of the last request has passed. */
 export class Experiment {
 	private readonly timers = new ManualTimerService();
 	private readonly random: IRandom;
@@ -158,7 +162,7 @@
 			end: undefined,
 			sends: 0,
 			longestRefusalMs: 0,
-			toldBackMs: [],
+			retryNotBeforeMs: [],
 			sentMs: [],
 		};
 		if (arrivedMs >= this.options.countFromMs && arrivedMs < this.options.countUntilMs) {
@@ -187,8 +191,8 @@
 		}
 		record.longestRefusalMs = Math.max(record.longestRefusalMs, nowMs - sentMs);
 		const delayMs = this.computeResendDelay(answer);
-		record.toldBackMs.push(nowMs + (answer.retryAfterMs ?? 0));
-		if (delayMs !== undefined && record.sends < mostSends && nowMs + delayMs < this.options.durationMs) {
+		record.retryNotBeforeMs.push(nowMs + (answer.retryAfterMs ?? 0));
+		if (delayMs !== undefined && record.sends < maxSends && nowMs + delayMs < this.options.durationMs) {
 			this.timers.schedule(delayMs, () => {
 				this.send(createResend(model, record.sends, this.timers.getNow()), record);
 			});
@@ -199,9 +203,9 @@
 		switch (this.options.resend) {
 			case ResendRule.Never:
 				return undefined;
-			case ResendRule.AtOnce:
-				return resendAtOnceMs;
-			case ResendRule.WhenTold:
+			case ResendRule.AfterFixedDelay:
+				return fixedResendDelayMs;
+			case ResendRule.AfterRetryDelay:
 				return answer.retryAfterMs;
 		}
 	}
@@ -260,18 +264,18 @@
 	}
 }
 
-/** The same request sent again: a new id, and a deadline counted from the new send. */
+/** Copies a request for a resend, with a new id and a deadline relative to the time of the resend. */
 function createResend(model: ModelRequest, sends: number, nowMs: number): ModelRequest {
 	const { request } = model;
-	const [first = request.id] = request.id.split('+');
-	const patienceMs = request.deadlineMs - request.arrivedMs;
+	const [originalId = request.id] = request.id.split('+');
+	const timeoutMs = request.deadlineMs - request.arrivedMs;
 	return {
 		...model,
 		request: {
 			...request,
-			id: `${first}+${sends}` as RequestId,
+			id: `${originalId}+${sends}` as RequestId,
 			arrivedMs: nowMs,
-			deadlineMs: nowMs + patienceMs,
+			deadlineMs: nowMs + timeoutMs,
 		},
 	};
 }
--- a/src/bench/common/linkModel.ts
+++ b/src/bench/common/linkModel.ts
@@ -1,5 +1,6 @@
 /**
- * One direction of a link between regions: messages go one after the other at its rate, then travel.
+ * Model of one direction of a network link between regions. Messages are transmitted one after another at the
+ * bandwidth of the link and arrive after the one-way delay.
  */
 
 import type { ITimerService } from '../../base/common/timerService';
@@ -7,7 +8,7 @@
 const secondMs = 1_000;
 
 export class LinkModel {
-	/** Bytes put on the link in each second of the run. */
+	/** Bytes submitted to the link in each second of the run. */
 	readonly bytesBySecond: number[] = [];
 	private freeAtMs = 0;
 
@@ -17,13 +18,13 @@
 		readonly bytesPerMs: number,
 	) {}
 
-	/** All bytes carried so far. */
+	/** Bytes submitted to the link since the start of the run. */
 	get totalBytes(): number {
 		return this.bytesBySecond.reduce((sum, bytes) => sum + bytes, 0);
 	}
 
-	/** Most bytes carried in one second. */
-	get mostBytesPerSecond(): number {
+	/** Maximum number of bytes submitted to the link in one second. */
+	get maxBytesPerSecond(): number {
 		return this.bytesBySecond.reduce((most, bytes) => Math.max(most, bytes), 0);
 	}
 
--- a/src/bench/common/regionExperiment.ts
+++ b/src/bench/common/regionExperiment.ts
@@ -1,7 +1,8 @@
 /**
- * Two regions or more on one virtual clock: each with its targets, its callers and one entry; between each
- * pair a link that carries requests sent away one after the other at its rate. Offers of room are told
- * every second and arrive late. A request sent away is served or refused there, never sent on.
+ * Simulates two or more regions on one virtual clock. Each region has its own targets, callers and one entry. A link
+ * between each pair of regions carries requests that one region sends away to the other. Regions periodically send
+ * each other offers with their spare capacity, which arrive with a delay. A request that was sent away is served or
+ * refused in the receiving region and is never forwarded again.
  */
 
 import type { IRandom } from '../../base/common/random';
@@ -19,7 +20,7 @@
 import type { RequestKind } from './workload';
 import { planArrivals } from './workload';
 
-/** One region of a run. */
+/** Configuration of one region. */
 export interface RegionOptions {
 	readonly name: string;
 	readonly targetCount: number;
@@ -36,27 +37,27 @@
 	readonly cachedPrefixes: number;
 	readonly oneWayMs: number;
 	readonly linkBytesPerMs: number;
-	/** Part of the link that requests sent away may fill. */
+	/** Share of the link bandwidth that requests sent away may use. */
 	readonly linkShare: number;
 	readonly answerBytes: number;
 	readonly offerPeriodMs: number;
-	/** Delay of an offer beside the way over the link. */
+	/** Delay of an offer in addition to the one-way delay of the link. */
 	readonly offerLagMs: number;
 	readonly events: readonly RegionEvent[];
 }
 
-/** Something that happens to a region's targets. */
+/** A change to the targets of a region at a given time of the run, such as an outage. */
 export interface RegionEvent {
 	readonly atMs: number;
 	readonly region: string;
 	readonly apply: (targets: readonly TargetModel[]) => void;
 }
 
-/** What one caller received. */
+/** Outcome of one caller's request. */
 export interface RegionRecord {
 	readonly region: string;
 	readonly plannedMs: number;
-	readonly isBound: boolean;
+	readonly isHomeRegionOnly: boolean;
 	endMs: number;
 	end: ModelEnd | undefined;
 	isSentAway: boolean;
@@ -71,7 +72,7 @@
 
 interface ModelOffer {
 	readonly room: ServiceRoom;
-	readonly spokenMs: number;
+	readonly sentMs: number;
 }
 
 interface ModelRegion {
@@ -80,13 +81,13 @@
 	readonly targets: readonly TargetModel[];
 	readonly entry: EntryModel;
 	readonly policy: ISendAwayPolicy;
-	/** The last offers that reached this region. */
+	/** The last offer received from each other region. */
 	readonly offers: Map<ModelRegion, ModelOffer>;
 }
 
 const networkMs = 0.5;
 
-/** Runs one experiment. */
+/** Runs one experiment until the deadline of the last request has passed. */
 export class RegionExperiment {
 	private readonly timers = new ManualTimerService();
 	private readonly regions: readonly ModelRegion[];
@@ -140,13 +141,13 @@
 		const record: RegionRecord = {
 			region: region.options.name,
 			plannedMs: this.timers.getNow(),
-			isBound: model.isBound,
+			isHomeRegionOnly: model.isHomeRegionOnly,
 			endMs: Number.POSITIVE_INFINITY,
 			end: undefined,
 			isSentAway: false,
 		};
 		this.records.push(record);
-		const to = model.isBound ? undefined : this.decide(region, model);
+		const to = model.isHomeRegionOnly ? undefined : this.decideDestination(region, model);
 		if (to !== undefined) {
 			this.sendAway(region, to, model, record);
 			return;
@@ -156,14 +157,14 @@
 		});
 	}
 
-	private decide(region: ModelRegion, model: ModelRequest): ModelRegion | undefined {
+	private decideDestination(region: ModelRegion, model: ModelRequest): ModelRegion | undefined {
 		const nowMs = this.timers.getNow();
 		const { oneWayMs, linkBytesPerMs, linkShare } = this.options;
-		const offers = [...region.offers].map(([other, { room, spokenMs }]) => ({
+		const offers = [...region.offers].map(([other, { room, sentMs }]) => ({
 			instance: other.instance,
 			region: other.options.name as RegionName,
 			room,
-			ageMs: nowMs - spokenMs,
+			ageMs: nowMs - sentMs,
 			oneWayMs,
 			linkBytesPerMs: linkBytesPerMs * linkShare,
 		}));
@@ -180,19 +181,19 @@
 		const { bodyBytes } = model.request;
 		this.getLink(from, to).send(bodyBytes, () => {
 			if (this.timers.getNow() >= model.request.deadlineMs) {
-				this.finishAway(from, to, model, record, { end: ModelEnd.Failed, retryAfterMs: undefined });
+				this.finishSentAway(from, to, model, record, { end: ModelEnd.Failed, retryAfterMs: undefined });
 				return;
 			}
 			to.entry.submit(model, answer => {
 				const bytes = answer.end === ModelEnd.Answered ? this.options.answerBytes : 0;
 				this.getLink(to, from).send(bytes, () => {
-					this.finishAway(from, to, model, record, answer);
+					this.finishSentAway(from, to, model, record, answer);
 				});
 			});
 		});
 	}
 
-	private finishAway(
+	private finishSentAway(
 		from: ModelRegion,
 		to: ModelRegion,
 		{ request }: ModelRequest,
@@ -213,14 +214,17 @@
 		record.endMs = this.timers.getNow();
 	}
 
-	/** A region whose targets are all out of use offers nothing; it looks as one that is cut off. */
+	/**
+	 * Sends an offer to every other region. A region without an available target sends no offers, so that other regions
+	 * cannot distinguish it from a disconnected region.
+	 */
 	private sendOffers(region: ModelRegion): void {
 		const nowMs = this.timers.getNow();
 		const room = region.entry.scheduler.measureRoom(nowMs);
 		for (const other of this.regions) {
-			if (other !== region && region.targets.some(target => !target.isOut)) {
+			if (other !== region && region.targets.some(target => !target.isUnavailable)) {
 				this.timers.schedule(this.options.oneWayMs + this.options.offerLagMs, () => {
-					other.offers.set(region, { room, spokenMs: nowMs });
+					other.offers.set(region, { room, sentMs: nowMs });
 				});
 			}
 		}
@@ -253,13 +257,13 @@
 		const random = new SeededRandom(computeMixedHash(seed, index));
 		const byId = new Map(targets.map(target => [target.options.id, target]));
 		const entry = new EntryModel(this.timers, new ServiceScheduler(random), byId, networkMs);
-		entry.setTargets(targets.map(target => createListed(target, options.name, slots)));
+		entry.setTargets(targets.map(target => createSchedulableTarget(target, options.name, slots)));
 		const instance = `entry-${options.name}` as InstanceId;
 		return { options, instance, targets, entry, policy: createPolicy(random), offers: new Map() };
 	}
 }
 
-function createListed(target: TargetModel, region: string, slots: number): SchedulableTarget {
+function createSchedulableTarget(target: TargetModel, region: string, slots: number): SchedulableTarget {
 	return {
 		id: target.options.id,
 		zone: `${region}-a` as ZoneName,
--- a/src/bench/common/scenario.ts
+++ b/src/bench/common/scenario.ts
@@ -1,6 +1,6 @@
 /**
- * A load pattern as the bench runs and tells it: figures for each contender, and the goals that ours is
- * held against.
+ * Types for load patterns and their reports: the figures of each scheduler under comparison, and the goals that the
+ * product's scheduler has to meet.
  */
 
 /** One measured figure. */
@@ -10,37 +10,37 @@
 	readonly unit: string;
 }
 
-/** What a decision costs in one setting. */
+/** Cost of scheduling or routing decisions in one setting. */
 export interface CostRow {
 	readonly setting: string;
 	readonly figures: readonly Figure[];
 }
 
-/** The figures of one contender. */
+/** The figures of one scheduler under comparison. */
 export interface ScenarioRow {
 	readonly contender: string;
 	readonly figures: readonly Figure[];
 }
 
-/** What ours has to reach. */
+/** A goal that the product's scheduler has to meet. */
 export interface ScenarioGoal {
 	readonly text: string;
 	readonly value: number;
-	/** At most this value, or at least where `isLeast`. */
+	/** Upper bound of the value, or lower bound if `isLeast` is set. */
 	readonly bound: number;
 	readonly isLeast: boolean;
 }
 
 export interface ScenarioReport {
 	readonly name: string;
-	/** The load, in words. */
+	/** Description of the load for the report. */
 	readonly pattern: string;
 	readonly seed: number;
 	readonly rows: readonly ScenarioRow[];
 	readonly goals: readonly ScenarioGoal[];
 }
 
-/** A load pattern. */
+/** A load pattern that can be run with a random seed. */
 export interface Scenario {
 	readonly name: string;
 	run(seed: number): ScenarioReport;
--- a/src/bench/common/scenarios/outage.ts
+++ b/src/bench/common/scenarios/outage.ts
@@ -140,7 +140,7 @@
 		},
 		createRefusalGoal(own),
 	];
-	if (resend === ResendRule.WhenTold) {
+	if (resend === ResendRule.AfterRetryDelay) {
 		goals.push({
 			text: 'fullest second of returns beside first sends',
 			value: computeReturnPeak(own),
@@ -161,6 +161,16 @@
 		Fault.Failing,
 		ResendRule.Never,
 	),
-	createOutage('outage, callers return when told', `the same, ${outText}`, Fault.Down, ResendRule.WhenTold),
-	createOutage('outage, callers resend at once', 'the same after 0.2 s', Fault.Down, ResendRule.AtOnce),
+	createOutage(
+		'outage, callers return when told',
+		`the same, ${outText}`,
+		Fault.Down,
+		ResendRule.AfterRetryDelay,
+	),
+	createOutage(
+		'outage, callers resend at once',
+		'the same after 0.2 s',
+		Fault.Down,
+		ResendRule.AfterFixedDelay,
+	),
 ];
--- a/src/bench/common/scenarios/regions.ts
+++ b/src/bench/common/scenarios/regions.ts
@@ -115,7 +115,7 @@
 }
 
 function computeLinkUse({ links }: RegionResult): number {
-	return Math.max(0, ...links.map(link => link.mostBytesPerSecond / 1_000 / (link.bytesPerMs * linkShare)));
+	return Math.max(0, ...links.map(link => link.maxBytesPerSecond / 1_000 / (link.bytesPerMs * linkShare)));
 }
 
 /** Mean change, from one span of ten seconds to the next, of the share that a region sends away. */
@@ -126,7 +126,7 @@
 		const inSpan = records.filter(
 			record =>
 				record.region === 'first' &&
-				!record.isBound &&
+				!record.isHomeRegionOnly &&
 				record.plannedMs >= fromMs &&
 				record.plannedMs < fromMs + spanMs,
 		);
@@ -165,7 +165,7 @@
 
 function createCommonGoals(own: RegionResult, home: RegionResult): ScenarioGoal[] {
 	const sentP99 = computeP99(own.records, record => record.isSentAway);
-	const homeP99 = computeP99(home.records, record => !record.isBound);
+	const homeP99 = computeP99(home.records, record => !record.isHomeRegionOnly);
 	return [
 		{ text: 'p99 of sent beside staying', value: sentP99 / homeP99, bound: 1, isLeast: false },
 		{
--- a/src/bench/common/scenarios/runs.ts
+++ b/src/bench/common/scenarios/runs.ts
@@ -64,7 +64,7 @@
 
 /** 99 in 100 refusals are told on arrival or at the next check of the queue. */
 export function createRefusalGoal(result: ExperimentResult | undefined): ScenarioGoal {
-	const refusals = (result?.records ?? []).filter(record => record.toldBackMs.length > 0);
+	const refusals = (result?.records ?? []).filter(record => record.retryNotBeforeMs.length > 0);
 	const value = computeQuantile(
 		refusals.map(record => record.longestRefusalMs),
 		0.99,
--- a/src/bench/common/summary.ts
+++ b/src/bench/common/summary.ts
@@ -1,5 +1,5 @@
 /**
- * Figures of a run, counted from what callers received.
+ * Computes the summary figures of a run from the outcomes of its callers' requests.
  */
 
 import type { RequestClass } from '../../core/requests/common/requestClass';
@@ -7,38 +7,38 @@
 import { ModelEnd } from './entryModel';
 import type { TargetModel } from './targetModel';
 
-/** The figures that every run is told by. */
+/** The summary figures of a run. */
 export interface RunSummary {
 	readonly callers: number;
-	/** Callers answered in their deadline, a second. */
+	/** Callers answered within their deadline, per second. */
 	readonly goodput: number;
-	/** Work of the answered callers' requests, as a part of what all slots can do. */
+	/** Work of the answered requests as a share of the work that all slots together can do. */
 	readonly workGoodput: number;
-	/** Answered callers as a part of all. */
+	/** Share of the callers that were answered. */
 	readonly answeredShare: number;
 	readonly refusedShare: number;
-	/** Callers whose request failed or who waited to their deadline for nothing. */
+	/** Share of the callers whose request failed or reached its deadline without an answer. */
 	readonly failedShare: number;
-	/** Longest time from a send to its refusal, in milliseconds. */
+	/** Longest time from a send to its refusal. */
 	readonly longestRefusalMs: number;
-	/** Attempts at targets for each caller. */
+	/** Attempts at targets in the whole run, divided by the number of counted callers. */
 	readonly attemptsPerCaller: number;
-	/** Seconds of a slot for each answered caller: the cost of an answer. */
+	/** Slot time per answer, in seconds. Includes slot time spent on failed and cancelled requests. */
 	readonly slotSecondsPerAnswer: number;
-	/** Part of all slots that was taken, over the whole run. */
+	/** Share of the slot time of all targets that was used. */
 	readonly slotUse: number;
-	/** Jain's index of the answered share over organisations: 1 is even. */
+	/** Jain's fairness index of the answered share of each organisation. 1 means that all shares are equal. */
 	readonly fairness: number;
 }
 
-/** Value below which a share of the sorted values lies; NaN for none. */
+/** Returns the nearest-rank quantile of the values, or NaN if there are no values. */
 export function computeQuantile(values: readonly number[], share: number): number {
 	const sorted = [...values].sort((left, right) => left - right);
-	const place = Math.min(sorted.length - 1, Math.ceil(sorted.length * share) - 1);
-	return sorted[Math.max(0, place)] ?? Number.NaN;
+	const index = Math.min(sorted.length - 1, Math.ceil(sorted.length * share) - 1);
+	return sorted[Math.max(0, index)] ?? Number.NaN;
 }
 
-/** Times from the planned send to the answer, in milliseconds, of answered callers. */
+/** Returns the times from the planned send to the answer, in milliseconds, of the matching answered callers. */
 export function listLatencies(
 	records: readonly CallerRecord[],
 	matches: (record: CallerRecord) => boolean,
@@ -48,7 +48,7 @@
 		.map(record => record.endMs - record.plannedMs);
 }
 
-/** A quantile of the latency of one class. */
+/** Returns a quantile of the latency of one request class. */
 export function computeLatency(
 	records: readonly CallerRecord[],
 	requestClass: RequestClass,
@@ -60,7 +60,7 @@
 	);
 }
 
-/** Part of the callers that match who were answered. */
+/** Returns the share of the matching callers that were answered. */
 export function computeAnsweredShare(
 	records: readonly CallerRecord[],
 	matches: (record: CallerRecord) => boolean = () => true,
@@ -87,7 +87,7 @@
 	return records.reduce((sum, record) => sum + (record.end === ModelEnd.Answered ? record.workMs : 0), 0);
 }
 
-/** Milliseconds of work that the targets do in a millisecond with every slot taken. */
+/** Returns the work, in milliseconds, that the targets do per millisecond with all slots in use. */
 function computeCapacity(targets: readonly TargetModel[]): number {
 	return targets.reduce((sum, { options }) => sum + options.slots / (1 + options.batchSlowdown), 0);
 }
--- a/src/bench/common/table.ts
+++ b/src/bench/common/table.ts
@@ -1,5 +1,5 @@
 /**
- * Reports as text: one table for each pattern, then its goals.
+ * Formats reports as text: a table for each load pattern, followed by its goals.
  */
 
 import type { CostRow, ScenarioGoal, ScenarioReport } from './scenario';
@@ -19,17 +19,17 @@
 	return `- ${goal.text}: ${formatValue(goal.value)} (${sign} ${formatValue(goal.bound)}) ${verdict}`;
 }
 
-/** A report as Markdown. */
+/** Formats a report as Markdown. */
 export function formatReport(report: ScenarioReport): string {
-	const heads =
+	const columnHeaders =
 		report.rows[0]?.figures.map(({ name, unit }) => (unit === '' ? name : `${name} (${unit})`)) ?? [];
 	const lines = [
 		`### ${report.name}`,
 		'',
 		`${report.pattern}; seed ${report.seed}.`,
 		'',
-		`| | ${heads.join(' | ')} |`,
-		`|---|${heads.map(() => '---:').join('|')}|`,
+		`| | ${columnHeaders.join(' | ')} |`,
+		`|---|${columnHeaders.map(() => '---:').join('|')}|`,
 		...report.rows.map(
 			row => `| ${row.contender} | ${row.figures.map(({ value }) => formatValue(value)).join(' | ')} |`,
 		),
@@ -39,12 +39,12 @@
 	return `${lines.join('\n')}\n`;
 }
 
-/** What decisions cost, as a Markdown list. */
+/** Formats the cost of decisions as a Markdown list. */
 export function formatCosts(rows: readonly CostRow[]): string {
 	return rows
 		.map(({ setting, figures }) => {
-			const told = figures.map(({ name, value, unit }) => `${name} ${formatValue(value)} ${unit}`);
-			return `- ${setting}: ${told.join(', ')}\n`;
+			const formatted = figures.map(({ name, value, unit }) => `${name} ${formatValue(value)} ${unit}`);
+			return `- ${setting}: ${formatted.join(', ')}\n`;
 		})
 		.join('');
 }
--- a/src/bench/common/targetModel.ts
+++ b/src/bench/common/targetModel.ts
@@ -1,8 +1,9 @@
 /**
- * A model engine in virtual time, small enough to be read before its figures are believed. It batches
- * continuously: every running request advances at a rate that falls with the number running, since a
- * decoding step takes longer for a larger batch. What exceeds its slots waits in its own queue, the more
- * urgent first. It caches the prefixes used last; a prefix that is not cached costs extra work.
+ * Model of a target (an inference engine with continuous batching) in virtual time, kept small so that its
+ * assumptions can be reviewed. All running requests progress at the same rate, which falls with their number because
+ * a decoding step takes longer for a larger batch. Requests that exceed the slots wait in a queue that is ordered by
+ * request class, the most urgent first. The target caches the most recently used prompt prefixes. A request whose
+ * prefix is not cached takes additional work.
  */
 
 import type { IDisposable } from '../../base/common/lifecycle';
@@ -12,24 +13,27 @@
 import { requestClasses } from '../../core/requests/common/requestClass';
 import { AttemptEnd } from '../../entry/common/scheduling/serviceScheduler';
 
-/** What a target is built with. */
+/** Configuration of a target. */
 export interface TargetModelOptions {
 	readonly id: TargetId;
 	readonly slots: number;
-	/** How much longer a step takes with every slot taken than with one, as a share of the latter. */
+	/**
+	 * Relative increase of the duration of a decoding step from one running request to all slots in use. 0.25 means
+	 * 25% longer.
+	 */
 	readonly batchSlowdown: number;
-	/** Prefixes that the cache holds. */
+	/** Maximum number of cached prefixes. */
 	readonly cachedPrefixes: number;
 }
 
-/** One request as the target sees it. */
+/** A request that is submitted to a target. */
 export interface TargetJob {
 	readonly id: string;
 	readonly requestClass: RequestClass;
-	/** Time that it takes alone on a healthy target, in milliseconds. */
+	/** Processing time if the request runs alone on a healthy target. */
 	readonly workMs: number;
 	readonly prefixKey: string | undefined;
-	/** Extra work where the prefix is not cached, in milliseconds. */
+	/** Additional processing time if the prefix is not cached. */
 	readonly coldMs: number;
 	readonly noteFirstByte: () => void;
 	readonly noteEnd: (end: AttemptEnd) => void;
@@ -37,32 +41,33 @@
 
 interface RunningJob {
 	readonly job: TargetJob;
+	/** Remaining work. */
 	leftMs: number;
-	/** The first byte leaves when no more than this is left. */
+	/** The first byte is sent as soon as the remaining work is at most this. */
 	readonly firstByteLeftMs: number;
 	hasFirstByte: boolean;
 }
 
-/** The part of a request's own work that is done when its first byte leaves. */
-const workBeforeFirstByte = 0.1;
-/** Below this much work a request has ended: sums of floating-point steps do not reach zero. */
-const endedMs = 1e-6;
+/** Share of a request's work, without the work for an uncached prefix, that precedes the first byte. */
+const firstByteWorkShare = 0.1;
+/** Remaining work at which a request counts as complete. Floating-point errors can keep it from reaching zero. */
+const completionToleranceMs = 1e-6;
 
-/** A failing target breaks a request off after this time. */
-const failsAfterMs = 20;
+/** Time after which a failing target aborts a request. */
+const failureDelayMs = 20;
 
-/** What a target has done so far. */
+/** Counters of a target since the start of the run. */
 export interface TargetTotals {
 	startedJobs: number;
 	prefixHits: number;
 	prefixMisses: number;
-	/** Milliseconds with at least one request running. */
+	/** Time with at least one running request. */
 	busyMs: number;
-	/** Milliseconds of slots, cancelled and failed work included. */
+	/** Slot time in use, including time spent on cancelled and failed requests. */
 	slotMs: number;
 }
 
-/** One engine. */
+/** A target that processes requests in virtual time. */
 export class TargetModel {
 	readonly totals: TargetTotals = { startedJobs: 0, prefixHits: 0, prefixMisses: 0, busyMs: 0, slotMs: 0 };
 	private readonly running = new Map<string, RunningJob>();
@@ -71,22 +76,22 @@
 	private speed = 1;
 	private isDown = false;
 	private isFailing = false;
-	private steppedMs: number;
+	private lastStepMs: number;
 	private timer: IDisposable | undefined;
 
 	constructor(
 		private readonly timers: ITimerService,
 		readonly options: TargetModelOptions,
 	) {
-		this.steppedMs = timers.getNow();
+		this.lastStepMs = timers.getNow();
 	}
 
 	get runningCount(): number {
 		return this.running.size;
 	}
 
-	/** Whether it serves nothing at present. */
-	get isOut(): boolean {
+	/** Whether the target is down or fails every request. */
+	get isUnavailable(): boolean {
 		return this.isDown || this.isFailing;
 	}
 
@@ -94,7 +99,7 @@
 		return this.waiting.length;
 	}
 
-	/** Runs a job now or when a slot is free; a target that is down cannot be reached. */
+	/** Starts a job as soon as a slot is free. Connections to a target that is down fail immediately. */
 	submit(job: TargetJob): void {
 		if (this.isDown) {
 			job.noteEnd(AttemptEnd.NotConnected);
@@ -102,7 +107,7 @@
 		}
 		if (this.isFailing) {
 			this.totals.startedJobs++;
-			this.timers.schedule(failsAfterMs, () => {
+			this.timers.schedule(failureDelayMs, () => {
 				job.noteEnd(AttemptEnd.Failed);
 			});
 			return;
@@ -115,7 +120,7 @@
 		this.scheduleNext();
 	}
 
-	/** Takes a job back without an end. */
+	/** Cancels a job without calling its `noteEnd`. */
 	cancel(id: string): void {
 		this.advance();
 		this.running.delete(id);
@@ -124,19 +129,19 @@
 		this.scheduleNext();
 	}
 
-	/** 1 is healthy; 0.2 takes five times as long. */
+	/** Sets the processing speed. 1 is a healthy target, 0.2 makes requests take five times as long. */
 	setSpeed(speed: number): void {
 		this.advance();
 		this.speed = speed;
 		this.scheduleNext();
 	}
 
-	/** A failing target takes every request and breaks it off. */
+	/** A failing target accepts every new request and aborts it after a short time. */
 	setFailing(isFailing: boolean): void {
 		this.isFailing = isFailing;
 	}
 
-	/** Going down breaks what runs and forgets the cache. */
+	/** Taking the target down aborts all running and waiting requests and clears the cache. */
 	setDown(isDown: boolean): void {
 		this.advance();
 		this.isDown = isDown;
@@ -155,11 +160,11 @@
 		return this.speed / (1 + this.options.batchSlowdown * Math.max(0, others));
 	}
 
-	/** Does the work of the time since the last step. */
+	/** Applies the progress since the last step to all running requests. */
 	private advance(): void {
 		const nowMs = this.timers.getNow();
-		const elapsedMs = nowMs - this.steppedMs;
-		this.steppedMs = nowMs;
+		const elapsedMs = nowMs - this.lastStepMs;
+		this.lastStepMs = nowMs;
 		if (this.running.size === 0) {
 			return;
 		}
@@ -182,13 +187,13 @@
 			this.running.set(job.id, {
 				job,
 				leftMs: job.workMs + coldMs,
-				firstByteLeftMs: job.workMs * (1 - workBeforeFirstByte),
+				firstByteLeftMs: job.workMs * (1 - firstByteWorkShare),
 				hasFirstByte: false,
 			});
 		}
 	}
 
-	/** Whether the prefix was cached; it is afterwards. */
+	/** Marks the prefix as most recently used, adding it if needed. Returns false if it was not cached before. */
 	private takePrefix(prefixKey: string | undefined): boolean {
 		if (prefixKey === undefined) {
 			return true;
@@ -219,25 +224,28 @@
 		});
 	}
 
-	/** Tells first bytes and ends that are due. Told last: a caller may submit or cancel in answer. */
+	/**
+	 * Reports the first bytes and completions that are due. The callbacks run last because they may submit or cancel
+	 * jobs.
+	 */
 	private handleStep(): void {
 		this.advance();
-		const tell: (() => void)[] = [];
+		const callbacks: (() => void)[] = [];
 		for (const entry of this.running.values()) {
-			if (!entry.hasFirstByte && entry.leftMs <= entry.firstByteLeftMs + endedMs) {
+			if (!entry.hasFirstByte && entry.leftMs <= entry.firstByteLeftMs + completionToleranceMs) {
 				entry.hasFirstByte = true;
-				tell.push(entry.job.noteFirstByte);
+				callbacks.push(entry.job.noteFirstByte);
 			}
-			if (entry.leftMs <= endedMs) {
+			if (entry.leftMs <= completionToleranceMs) {
 				this.running.delete(entry.job.id);
-				tell.push(() => {
+				callbacks.push(() => {
 					entry.job.noteEnd(AttemptEnd.Answered);
 				});
 			}
 		}
 		this.startWaiting();
 		this.scheduleNext();
-		for (const call of tell) {
+		for (const call of callbacks) {
 			call();
 		}
 	}
--- a/src/bench/common/workload.ts
+++ b/src/bench/common/workload.ts
@@ -1,6 +1,7 @@
 /**
- * Who sends what: open-loop callers whose arrivals are drawn ahead and never wait for answers, as callers
- * of a busy Monday do. The times follow the firms' own words: questions of 0.3 s, drafts of 30 to 60 s.
+ * Generates open-loop load: arrival times are drawn before the run and do not depend on answers, as under peak load
+ * from many independent callers. The processing times follow the figures given by the organisations that use the
+ * system: 0.3 s for questions, 30 to 60 s for drafts.
  */
 
 import type { IRandom } from '../../base/common/random';
@@ -8,12 +9,12 @@
 import { RequestClass } from '../../core/requests/common/requestClass';
 import type { ModelRequest } from './entryModel';
 
-/** One kind of request in a load. */
+/** A kind of request with its arrival rate and its distributions. */
 export interface RequestKind {
 	readonly requestClass: RequestClass;
-	/** Requests a second at a time of the run. */
+	/** Arrival rate at a time of the run, in requests per second. */
 	readonly computeRate: (nowMs: number) => number;
-	/** Largest value of `computeRate`; arrivals are drawn at it and thinned. */
+	/** Maximum value of `computeRate`. Arrivals are drawn at this rate and thinned to the current rate. */
 	readonly mostRate: number;
 	readonly pickWorkMs: (random: IRandom) => number;
 	readonly deadlineMs: number;
@@ -21,40 +22,40 @@
 	readonly pickPrefix?: (random: IRandom) => string;
 	readonly coldMs?: number;
 	readonly bodyBytes?: number;
-	/** Part of the requests that may be answered in their home region only. */
+	/** Share of the requests that may be served in their home region only. */
 	readonly boundShare?: number;
 	readonly isRepeatable?: boolean;
 }
 
-/** A request with the time at which its caller sends it. */
+/** A request and its planned send time. */
 export interface PlannedRequest {
 	readonly atMs: number;
 	readonly model: ModelRequest;
 }
 
-/** A lognormal time: most near the median, a few several times longer. */
+/** Draws a lognormal time: most values are near the median, a few are several times longer. */
 export function pickLognormal(random: IRandom, meanMs: number, sigma: number): number {
 	const radius = Math.sqrt(-2 * Math.log(1 - random.pickFraction()));
 	const normal = radius * Math.cos(2 * Math.PI * random.pickFraction());
 	return meanMs * Math.exp(sigma * normal - (sigma * sigma) / 2);
 }
 
-/** Questions: mean 0.3 s. */
+/** Draws the processing time of a question, with a mean of 0.3 s. */
 export function pickQuestionMs(random: IRandom): number {
 	return pickLognormal(random, 300, 0.4);
 }
 
-/** Drafts: 30 to 60 s. */
+/** Draws the processing time of a draft, uniformly between 30 and 60 s. */
 export function pickDraftMs(random: IRandom): number {
 	return 30_000 + 30_000 * random.pickFraction();
 }
 
-/** Draws one of `count` names with equal chances. */
+/** Returns a function that draws one of `count` names with equal probability. */
 export function createEvenPicker(name: string, count: number): (random: IRandom) => string {
 	return random => `${name}-${random.pickBelow(count)}`;
 }
 
-/** Makes a request; the class, times and names come from its kind. */
+/** Creates a request with properties drawn according to its kind. */
 export function createModelRequest(
 	kind: RequestKind,
 	id: string,
@@ -74,16 +75,16 @@
 		},
 		workMs: kind.pickWorkMs(random),
 		coldMs: kind.coldMs ?? 0,
-		isBound: random.pickFraction() < (kind.boundShare ?? 0),
+		isHomeRegionOnly: random.pickFraction() < (kind.boundShare ?? 0),
 	};
 }
 
-/** Draws all arrivals of a run, in the order of their time. */
+/** Draws all requests of a run, sorted by send time. */
 export function planArrivals(
 	kinds: readonly RequestKind[],
 	durationMs: number,
 	random: IRandom,
-	idStart = '',
+	idPrefix = '',
 ): PlannedRequest[] {
 	const planned: PlannedRequest[] = [];
 	for (const [index, kind] of kinds.entries()) {
@@ -96,7 +97,7 @@
 			if (random.pickFraction() * kind.mostRate < kind.computeRate(atMs)) {
 				planned.push({
 					atMs,
-					model: createModelRequest(kind, `${idStart}${index}-${planned.length}`, atMs, random),
+					model: createModelRequest(kind, `${idPrefix}${index}-${planned.length}`, atMs, random),
 				});
 			}
 		}
--- a/src/bench/node/decisionCost.ts
+++ b/src/bench/node/decisionCost.ts
@@ -1,6 +1,7 @@
 /**
- * What a decision costs on this machine, at the size that the fleet is to grow to: 890 targets, 540
- * organisations, 7 models. Measured here only; a test that asserted it would fail on a busy machine.
+ * Measures the time and heap cost of scheduling and routing decisions on this machine at the planned size of the
+ * fleet: 890 targets, 540 organisations, 7 models. No test asserts these figures because it would fail on a busy
+ * machine.
  */
 
 import { Heap } from 'heap-js';
@@ -28,34 +29,34 @@
 import { createFigure } from '../common/scenario';
 import { computeQuantile } from '../common/summary';
 
-const fleetTargets = 890;
-const models = 7;
-const organisations = 540;
-const slots = 81;
-/** Entries in view that divide a target; a zone of 360 nodes in 7 has 51. */
-const entries = 51;
+const fleetTargetCount = 890;
+const modelCount = 7;
+const organisationCount = 540;
+const slotsPerTarget = 81;
+/** Number of entries that share a target: 360 nodes in 7 availability zones are about 51 entries per zone. */
+const entriesPerTarget = 51;
 const measuredSends = 50_000;
-const warmSends = 20_000;
-const prefixes = 2_000;
+const warmUpSends = 20_000;
+const prefixCount = 2_000;
 const zone = 'zone-a' as ZoneName;
 const region = 'region-a' as RegionName;
-const elsewhere = 'region-b' as RegionName;
+const remoteRegion = 'region-b' as RegionName;
 
-/** Times, in microseconds, that a call took. */
+/** Records the durations of calls. */
 class CostMeter {
-	readonly times: number[] = [];
+	readonly timesUs: number[] = [];
 
 	measure<TResult>(run: () => TResult): TResult {
 		const startMs = performance.now();
 		const result = run();
-		this.times.push((performance.now() - startMs) * 1_000);
+		this.timesUs.push((performance.now() - startMs) * 1_000);
 		return result;
 	}
 
 	listFigures(name: string): Figure[] {
 		return [
-			createFigure(`${name} p50`, computeQuantile(this.times, 0.5), 'us'),
-			createFigure(`${name} p99`, computeQuantile(this.times, 0.99), 'us'),
+			createFigure(`${name} p50`, computeQuantile(this.timesUs, 0.5), 'us'),
+			createFigure(`${name} p99`, computeQuantile(this.timesUs, 0.99), 'us'),
 		];
 	}
 }
@@ -65,7 +66,7 @@
 	readonly endMs: number;
 }
 
-/** Requests in flight of one service, with the times at which they end. */
+/** A scheduler of one service under steady load, with the end times of the running requests. */
 class LoadedService {
 	readonly submits = new CostMeter();
 	readonly ends = new CostMeter();
@@ -77,16 +78,15 @@
 
 	constructor(
 		targetCount: number,
-		/** Arrivals a millisecond. */
-		private readonly rate: number,
+		private readonly arrivalsPerMs: number,
 		private readonly meanRunMs: number,
 	) {
 		this.scheduler.setTargets(createTargets(targetCount), 0);
 	}
 
-	/** Sends one request and ends those that are due before it. */
+	/** Submits the next request, after ending the running requests that are due before its arrival. */
 	advance(isMeasured: boolean): void {
-		this.nowMs += -Math.log(1 - this.random.pickFraction()) / this.rate;
+		this.nowMs += -Math.log(1 - this.random.pickFraction()) / this.arrivalsPerMs;
 		for (;;) {
 			const next = this.running.peek();
 			if (next === undefined || next.endMs > this.nowMs) {
@@ -124,11 +124,11 @@
 function createRequest(random: SeededRandom, number: number, nowMs: number): SchedulableRequest {
 	return {
 		id: `request-${number}` as RequestId,
-		organisation: `organisation-${random.pickBelow(organisations)}` as OrganisationName,
+		organisation: `organisation-${random.pickBelow(organisationCount)}` as OrganisationName,
 		requestClass: requestClasses[random.pickBelow(2)] ?? RequestClass.Urgent,
 		arrivedMs: nowMs,
 		deadlineMs: nowMs + 8_000,
-		prefixKey: `prefix-${random.pickBelow(prefixes)}`,
+		prefixKey: `prefix-${random.pickBelow(prefixCount)}`,
 		bodyBytes: 4_000,
 		isRepeatable: true,
 	};
@@ -139,19 +139,19 @@
 		id: `target-${index}` as TargetId,
 		zone,
 		isSameZone: true,
-		slots,
-		share: 1 / entries,
+		slots: slotsPerTarget,
+		share: 1 / entriesPerTarget,
 		isLeaving: false,
 	}));
 }
 
-/** Cost of one entry's scheduler at a multiple of its part of the capacity. */
+/** Measures the scheduler of one entry under a load given as a multiple of its share of the capacity. */
 function measureScheduler(setting: string, targetCount: number, load: number): CostRow {
 	const meanRunMs = 1_000;
-	const capacity = (targetCount * slots) / entries / meanRunMs;
+	const capacity = (targetCount * slotsPerTarget) / entriesPerTarget / meanRunMs;
 	const service = new LoadedService(targetCount, capacity * load, meanRunMs);
-	for (let step = 0; step < warmSends + measuredSends; step++) {
-		service.advance(step >= warmSends);
+	for (let step = 0; step < warmUpSends + measuredSends; step++) {
+		service.advance(step >= warmUpSends);
 	}
 	return { setting, figures: [...service.submits.listFigures('send'), ...service.ends.listFigures('end')] };
 }
@@ -160,7 +160,7 @@
 	const random = new SeededRandom(4);
 	const known = Array.from({ length: 360 }, (_, index) => ({
 		instance: `entry-${index}` as InstanceId,
-		region: index % 3 === 0 ? region : elsewhere,
+		region: index % 3 === 0 ? region : remoteRegion,
 		zone: index % 7 === 0 ? zone : ('zone-b' as ZoneName),
 		isLeaving: false,
 		isSuspect: false,
@@ -200,7 +200,7 @@
 	return { setting: 'sending away, 12 offers', figures: meter.listFigures('decision') };
 }
 
-/** Heap of a waiting request, with what its caller's own record holds of it left out. */
+/** Measures the heap that the scheduler uses per queued request, without the request object itself. */
 function measureQueuedHeap(): CostRow {
 	const collect = globalThis.gc;
 	if (collect === undefined) {
@@ -227,14 +227,14 @@
 	return { setting: 'heap of a queued request', figures: [createFigure('heap', used / waiting, 'B')] };
 }
 
-/** All settings. */
+/** Runs all measurements. */
 export function measureDecisionCost(): readonly CostRow[] {
-	const perModel = Math.ceil(fleetTargets / models);
+	const perModel = Math.ceil(fleetTargetCount / modelCount);
 	return [
-		measureScheduler(`one of ${models} models, ${perModel} targets, 0.7x`, perModel, 0.7),
-		measureScheduler(`one of ${models} models, ${perModel} targets, 3x`, perModel, 3),
-		measureScheduler(`all ${fleetTargets} targets in one service, 0.7x`, fleetTargets, 0.7),
-		measureScheduler(`all ${fleetTargets} targets in one service, 3x`, fleetTargets, 3),
+		measureScheduler(`one of ${modelCount} models, ${perModel} targets, 0.7x`, perModel, 0.7),
+		measureScheduler(`one of ${modelCount} models, ${perModel} targets, 3x`, perModel, 3),
+		measureScheduler(`all ${fleetTargetCount} targets in one service, 0.7x`, fleetTargetCount, 0.7),
+		measureScheduler(`all ${fleetTargetCount} targets in one service, 3x`, fleetTargetCount, 3),
 		measureSendAway(),
 		measureLookup(),
 		measureQueuedHeap(),
--- a/src/bench/test/patterns.test.ts
+++ b/src/bench/test/patterns.test.ts
@@ -116,7 +116,7 @@
 		const result = run(ours, [createQuestions(0.7)], {
 			durationMs: 60_000,
 			events,
-			resend: ResendRule.WhenTold,
+			resend: ResendRule.AfterRetryDelay,
 		});
 		const after = result.records.filter(record => record.plannedMs >= 25_000);
 		expect(computeAnsweredShare(after)).toBeGreaterThan(0.99);
@@ -170,6 +170,6 @@
 		expect(records.every(record => record.end !== undefined)).toBe(true);
 		const refused = records.filter(isRefused);
 		expect(refused.length).toBeGreaterThan(100);
-		expect(refused.every(record => (record.toldBackMs[0] ?? 0) > record.plannedMs)).toBe(true);
+		expect(refused.every(record => (record.retryNotBeforeMs[0] ?? 0) > record.plannedMs)).toBe(true);
 	});
 });
--- a/src/bench/test/regions.test.ts
+++ b/src/bench/test/regions.test.ts
@@ -62,17 +62,19 @@
 		const own = run(send, 1_400);
 		const home = run(stay, 1_400);
 		const sent = own.records.filter(record => record.isSentAway);
-		expect(sent.some(record => record.isBound)).toBe(false);
+		expect(sent.some(record => record.isHomeRegionOnly)).toBe(false);
 		expect(computeAnswered(own.records)).toBeGreaterThan(computeAnswered(home.records) + 0.08);
 		expect(computeAnswered(sent)).toBeGreaterThan(0.98);
-		expect(computeP99(sent)).toBeLessThan(computeP99(home.records.filter(record => !record.isBound)));
+		expect(computeP99(sent)).toBeLessThan(
+			computeP99(home.records.filter(record => !record.isHomeRegionOnly)),
+		);
 	});
 
 	// The link carries 30 such requests a second. Beyond that each request sent would wait for the link.
 	it('keeps to its part of a thin link', () => {
 		const { links } = run(send, 100);
 		for (const link of links) {
-			expect(link.mostBytesPerSecond).toBeLessThanOrEqual(link.bytesPerMs * linkShare * 1_000);
+			expect(link.maxBytesPerSecond).toBeLessThanOrEqual(link.bytesPerMs * linkShare * 1_000);
 		}
 		expect(Math.max(...links.map(link => link.totalBytes))).toBeGreaterThan(10_000_000);
 	});
